--- a/Makefile
+++ b/Makefile
@@ -29,6 +29,11 @@
 	@mkdir -p $(BIN)
 	@cd tools && GOWORK=off go build -o ../$(BIN)/staticcheck honnef.co/go/tools/cmd/staticcheck
 
+# gopls renames identifiers across the workspace. It needs an older version of the analysis libraries than staticcheck, hence its own module.
+$(BIN)/gopls: tools/gopls/go.mod
+	@mkdir -p $(BIN)
+	@cd tools/gopls && GOWORK=off go build -o ../../$(BIN)/gopls golang.org/x/tools/gopls
+
 lint: $(BIN)/staticcheck platform-names
 	@test -z "$$(gofmt -l $(MODULES))" || { echo "not formatted:"; gofmt -l $(MODULES); exit 1; }
 	@for m in $(MODULES); do (cd $$m && go vet ./... && ../$(BIN)/staticcheck ./...) || exit 1; done
