--- a/core/peer/dial.go
+++ b/core/peer/dial.go
@@ -252,8 +252,8 @@
 	return l, nil
 }
 
-// DialFresh returns a new link to an address in place of one that is no longer trusted.
-func (e *Endpoint) DialFresh(ctx context.Context, address string, old *Link) (*Link, error) {
+// Redial returns a new link to an address in place of one that is no longer trusted.
+func (e *Endpoint) Redial(ctx context.Context, address string, old *Link) (*Link, error) {
 	if old != nil {
 		old.Close(&SilentError{For: old.IdleFor()})
 	}
--- a/router/internal/directory/watch.go
+++ b/router/internal/directory/watch.go
@@ -59,10 +59,10 @@
 
 // Others knows what the other routers tell of the directory.
 type Others interface {
-	// Readers returns the routers that can read it.
-	Readers() []readers.Router
-	// Informed returns when, at the latest, one of them knew the whole directory.
-	Informed() clock.Instant
+	// Pollers returns the routers that can read it.
+	Pollers() []readers.Router
+	// LastDirectoryRead returns when, at the latest, one of them knew the whole directory.
+	LastDirectoryRead() clock.Instant
 }
 
 // Watch follows the directory and keeps members and declarations in step.
@@ -119,14 +119,14 @@
 // reader reports whether this router reads the directory itself now.
 func (w *Watch) reader() bool {
 	now := w.Clock.Now()
-	told := w.Others.Informed()
+	told := w.Others.LastDirectoryRead()
 	w.mu.Lock()
 	w.informed = max(w.informed, told)
 	known := w.informed != 0
 	w.mu.Unlock()
 	_, fleet := w.Store.Current()
 	reads := !known || fleet == nil || !w.Members.Known() ||
-		readers.Decide(readers.State{Self: w.Self, Others: w.Others.Readers(), Age: now.Sub(told)})
+		readers.Decide(readers.State{Self: w.Self, Others: w.Others.Pollers(), Age: now.Sub(told)})
 	if reads != w.reads {
 		w.reads = reads
 		w.Log.Info("directory reader", "reads", reads, "told", told != 0, "news_age_ms", newsAge(now, told).Milliseconds())
--- a/router/internal/engines/inventory.go
+++ b/router/internal/engines/inventory.go
@@ -39,16 +39,16 @@
 
 // Asker asks an engine which parts of prompts it keeps.
 type Asker interface {
-	Held(ctx context.Context, i members.Instance) ([]call.Part, error)
+	CachedBlocks(ctx context.Context, i members.Instance) ([]call.Part, error)
 }
 
 // Routers knows the other routers.
 type Routers interface {
-	Met() []string
-	// HoldingsLearnt reports whether one of them has told all that it knows of cached prompts.
-	HoldingsLearnt() bool
-	// InventoriedByOthers reports whether one of them has asked an engine already.
-	InventoriedByOthers(id settings.UpstreamID) bool
+	Reachable() []string
+	// CacheEntriesReceived reports whether one of them has told all that it knows of cached prompts.
+	CacheEntriesReceived() bool
+	// CacheQueriedByOthers reports whether one of them has asked an engine already.
+	CacheQueriedByOthers(id settings.UpstreamID) bool
 }
 
 // Inventory recovers the directory of cached prompts after all routers have restarted at once. Each engine is asked by
@@ -151,7 +151,7 @@
 	for {
 		elapsed := v.Clock.Now().Sub(begun)
 		switch {
-		case v.Routers.HoldingsLearnt():
+		case v.Routers.CacheEntriesReceived():
 			v.Log.Info("cached prompts learnt from a router", "parts", v.Affinity.Size(), "after_ms", elapsed.Milliseconds())
 			return
 		case elapsed >= recoverTime, elapsed >= meetTime && v.ask(ctx, elapsed, asking, &wg):
@@ -166,10 +166,10 @@
 
 // ask begins to ask the engines that fall to this router, and reports whether all engines have been asked by somebody.
 func (v *Inventory) ask(ctx context.Context, elapsed time.Duration, asking chan struct{}, wg *sync.WaitGroup) bool {
-	state := recovery.State{Self: v.Address, Named: v.Named, Met: v.Routers.Met(), Elapsed: elapsed}
+	state := recovery.State{Self: v.Address, Named: v.Named, Met: v.Routers.Reachable(), Elapsed: elapsed}
 	all := true
 	for _, i := range v.engines() {
-		if v.Routers.InventoriedByOthers(i.ID) || v.answered(i.ID) {
+		if v.Routers.CacheQueriedByOthers(i.ID) || v.answered(i.ID) {
 			continue
 		}
 		all = false
@@ -235,7 +235,7 @@
 	ctx, cancel := context.WithTimeout(ctx, askTime)
 	defer cancel()
 	v.Scope.Counter("inventory_questions").Inc(1)
-	parts, err := v.Asker.Held(ctx, i)
+	parts, err := v.Asker.CachedBlocks(ctx, i)
 	now := v.Clock.Now()
 	if err != nil {
 		v.Log.Warn("engine not in the inventory", "upstream", i.ID, "error", err)
--- a/router/internal/engines/inventory_test.go
+++ b/router/internal/engines/inventory_test.go
@@ -27,7 +27,7 @@
 	err   error
 }
 
-func (a *fakeAsker) Held(_ context.Context, i members.Instance) ([]call.Part, error) {
+func (a *fakeAsker) CachedBlocks(_ context.Context, i members.Instance) ([]call.Part, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.asked[i.ID]++
@@ -41,9 +41,9 @@
 	asked map[settings.UpstreamID]bool
 }
 
-func (r *fakeRouters) Met() []string                                   { return r.met }
-func (r *fakeRouters) HoldingsLearnt() bool                            { return r.warm }
-func (r *fakeRouters) InventoriedByOthers(id settings.UpstreamID) bool { return r.asked[id] }
+func (r *fakeRouters) Reachable() []string                              { return r.met }
+func (r *fakeRouters) CacheEntriesReceived() bool                       { return r.warm }
+func (r *fakeRouters) CacheQueriedByOthers(id settings.UpstreamID) bool { return r.asked[id] }
 
 func newInventory(address string, asker Asker, routers *fakeRouters) *Inventory {
 	book := &members.Book{}
--- a/router/internal/routers/service.go
+++ b/router/internal/routers/service.go
@@ -52,7 +52,7 @@
 // Dialer gives links to addresses.
 type Dialer interface {
 	Dial(ctx context.Context, address string) (*peer.Link, error)
-	DialFresh(ctx context.Context, address string, old *peer.Link) (*peer.Link, error)
+	Redial(ctx context.Context, address string, old *peer.Link) (*peer.Link, error)
 }
 
 // router is another router with the news that it has not heard yet.
--- a/router/internal/routers/service_test.go
+++ b/router/internal/routers/service_test.go
@@ -122,7 +122,7 @@
 	nodes := startNodes(t, 3)
 	eventually(t, func() bool {
 		cores := 0.0
-		for _, r := range nodes[0].service.Readers() {
+		for _, r := range nodes[0].service.Pollers() {
 			cores += r.Cores
 		}
 		return cores == 2+3
--- a/router/internal/routers/view.go
+++ b/router/internal/routers/view.go
@@ -19,8 +19,8 @@
 	return list
 }
 
-// Met returns the addresses of the other routers that answered last.
-func (s *Service) Met() []string {
+// Reachable returns the addresses of the other routers that answered last.
+func (s *Service) Reachable() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []string
@@ -32,15 +32,15 @@
 	return list
 }
 
-// InventoriedByOthers reports whether another router has asked for the cached prompts of an upstream.
-func (s *Service) InventoriedByOthers(id settings.UpstreamID) bool {
+// CacheQueriedByOthers reports whether another router has asked for the cached prompts of an upstream.
+func (s *Service) CacheQueriedByOthers(id settings.UpstreamID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.inventoried[id]
 }
 
-// Readers returns the other routers that answered last and can read the directory.
-func (s *Service) Readers() []readers.Router {
+// Pollers returns the other routers that answered last and can read the directory.
+func (s *Service) Pollers() []readers.Router {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []readers.Router
@@ -52,8 +52,8 @@
 	return list
 }
 
-// Informed returns when, at the latest, another router has read the directory and told it here.
-func (s *Service) Informed() clock.Instant {
+// LastDirectoryRead returns when, at the latest, another router has read the directory and told it here.
+func (s *Service) LastDirectoryRead() clock.Instant {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var latest clock.Instant
@@ -63,8 +63,8 @@
 	return latest
 }
 
-// HoldingsLearnt reports whether a router that knows the cached prompts has told them all.
-func (s *Service) HoldingsLearnt() bool {
+// CacheEntriesReceived reports whether a router that knows the cached prompts has told them all.
+func (s *Service) CacheEntriesReceived() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.learnt
--- a/router/internal/sides/attempt.go
+++ b/router/internal/sides/attempt.go
@@ -185,7 +185,7 @@
 func (d *Dispatcher) settle(ctx context.Context, c *Call, p *progress, step route.Step, old *peer.Link, cause error) report {
 	address, _ := d.View.Address(step.Side)
 	for range queryTries {
-		l, err := d.Endpoint.DialFresh(ctx, address, old)
+		l, err := d.Endpoint.Redial(ctx, address, old)
 		if err != nil {
 			break
 		}
--- a/side/internal/router/door.go
+++ b/side/internal/router/door.go
@@ -147,8 +147,8 @@
 	return now.Upstreams[id].Service
 }
 
-// Exchange merges another side's sample into the estimate and returns the sample from here.
-func (d *Door) Exchange(other *mean.Sample) mean.Sample {
+// ExchangeSample merges another side's sample into the estimate and returns the sample from here.
+func (d *Door) ExchangeSample(other *mean.Sample) mean.Sample {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock.Now()
@@ -160,8 +160,8 @@
 	return mine
 }
 
-// Merge takes in the answer to an exchange that was begun here.
-func (d *Door) Merge(other mean.Sample) {
+// MergeSample takes in the answer to an exchange that was begun here.
+func (d *Door) MergeSample(other mean.Sample) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.admission.Estimator.Merge(d.Clock.Now(), d.admission.Load(), other)
@@ -230,8 +230,8 @@
 	return d.leaving || now.Before(d.listedUntil)
 }
 
-// Listed notes a router's word that the VM list shows this VM leaving; it holds until it is no longer renewed.
-func (d *Door) Listed() {
+// ListedLeaving notes a router's word that the VM list shows this VM leaving; it holds until it is no longer renewed.
+func (d *Door) ListedLeaving() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.listedUntil = d.Clock.Now().Add(peer.LeavingLease)
--- a/side/internal/router/handover.go
+++ b/side/internal/router/handover.go
@@ -33,8 +33,8 @@
 	Address string
 }
 
-// Claims returns the questions whose answers are missing.
-func (d *Door) Claims() []Question {
+// PendingClaims returns the questions whose answers are missing.
+func (d *Door) PendingClaims() []Question {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.fleet == nil || d.service.Kind != settings.KindPlain {
@@ -64,8 +64,8 @@
 	return address, ok
 }
 
-// Claimed takes in another side's answer to a claim.
-func (d *Door) Claimed(h *peer.Handover) {
+// ApplyHandover takes in another side's answer to a claim.
+func (d *Door) ApplyHandover(h *peer.Handover) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock.Now()
@@ -83,8 +83,8 @@
 	}
 }
 
-// Answer hands over the records that a claiming side is now home of; it is nil while that cannot be done yet.
-func (d *Door) Answer(c *peer.Claim) []*peer.Handover {
+// AnswerClaim hands over the records that a claiming side is now home of; it is nil while that cannot be done yet.
+func (d *Door) AnswerClaim(c *peer.Claim) []*peer.Handover {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if c.Service != d.name || d.revision < c.Ended {
@@ -141,8 +141,8 @@
 	}
 }
 
-// Keep holds another side's handover until its successor claims it.
-func (d *Door) Keep(h *peer.Handover) {
+// KeepHandover holds another side's handover until its successor claims it.
+func (d *Door) KeepHandover(h *peer.Handover) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !h.Complete || h.Service != d.name || len(d.handovers) >= maxHandovers {
--- a/side/internal/router/shed.go
+++ b/side/internal/router/shed.go
@@ -5,8 +5,8 @@
 	"rattantrack.dev/core/settings"
 )
 
-// ShedWanted tells when the load has just grown, so that the side may have to move work away.
-func (d *Door) ShedWanted() <-chan struct{} {
+// MoveWanted tells when the load has just grown, so that the side may have to move work away.
+func (d *Door) MoveWanted() <-chan struct{} {
 	d.shedOnce.Do(func() { d.shedWake = make(chan struct{}, 1) })
 	return d.shedWake
 }
@@ -22,8 +22,8 @@
 	}
 }
 
-// ShedTarget returns the side to which work should move and its address, if there is too much here.
-func (d *Door) ShedTarget() (settings.UpstreamID, string, bool) {
+// MoveTarget returns the side to which work should move and its address, if there is too much here.
+func (d *Door) MoveTarget() (settings.UpstreamID, string, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	m, ok := d.move()
@@ -42,8 +42,8 @@
 	return d.admission.Shed(d.Clock.Now())
 }
 
-// Shed moves one request to a side whose load was just asked for; it reports whether it did.
-func (d *Door) Shed(to settings.UpstreamID) bool {
+// MoveRequest moves one request to a side whose load was just asked for; it reports whether it did.
+func (d *Door) MoveRequest(to settings.UpstreamID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	m, ok := d.move()
--- a/side/internal/sides/service.go
+++ b/side/internal/sides/service.go
@@ -23,18 +23,18 @@
 
 // Door is what the exchanges tell and ask.
 type Door interface {
-	Exchange(other *mean.Sample) mean.Sample
-	Merge(other mean.Sample)
-	ShedWanted() <-chan struct{}
-	ShedTarget() (settings.UpstreamID, string, bool)
-	Shed(to settings.UpstreamID) bool
+	ExchangeSample(other *mean.Sample) mean.Sample
+	MergeSample(other mean.Sample)
+	MoveWanted() <-chan struct{}
+	MoveTarget() (settings.UpstreamID, string, bool)
+	MoveRequest(to settings.UpstreamID) bool
 	Siblings() (settings.ServiceName, []string)
 	Forget(side settings.UpstreamID)
-	Listed()
-	Claims() []router.Question
-	Claimed(h *peer.Handover)
-	Answer(c *peer.Claim) []*peer.Handover
-	Keep(h *peer.Handover)
+	ListedLeaving()
+	PendingClaims() []router.Question
+	ApplyHandover(h *peer.Handover)
+	AnswerClaim(c *peer.Claim) []*peer.Handover
+	KeepHandover(h *peer.Handover)
 	Handover() *peer.Handover
 }
 
@@ -89,7 +89,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.Door.ShedWanted():
+		case <-s.Door.MoveWanted():
 			s.shed(ctx)
 		}
 	}
@@ -102,7 +102,7 @@
 // rests on an old report.
 func (s *Service) shed(ctx context.Context) {
 	for range maxShedSteps {
-		to, address, ok := s.Door.ShedTarget()
+		to, address, ok := s.Door.MoveTarget()
 		if !ok {
 			return
 		}
@@ -110,7 +110,7 @@
 			s.Door.Forget(to)
 			continue
 		}
-		s.Door.Shed(to)
+		s.Door.MoveRequest(to)
 	}
 }
 
@@ -148,11 +148,11 @@
 		return err
 	}
 	name, _ := s.Door.Siblings()
-	answer, err := peer.Ask[*peer.Exchange](ctx, l, message(name, s.Door.Exchange(nil)), askLimit)
+	answer, err := peer.Ask[*peer.Exchange](ctx, l, message(name, s.Door.ExchangeSample(nil)), askLimit)
 	if err != nil {
 		return err
 	}
-	s.Door.Merge(sample(answer))
+	s.Door.MergeSample(sample(answer))
 	return nil
 }
 
@@ -162,12 +162,12 @@
 	case *peer.Exchange:
 		s.answerExchange(ctx, st, v)
 	case *peer.Claim:
-		for _, h := range s.Door.Answer(v) {
+		for _, h := range s.Door.AnswerClaim(v) {
 			_ = st.Send(ctx, h)
 		}
 		_ = st.Send(ctx, &peer.Reset{Reason: "no more records"})
 	case *peer.Handover:
-		s.Door.Keep(v)
+		s.Door.KeepHandover(v)
 		_ = st.Send(ctx, &peer.Kept{})
 	case *peer.Fetch:
 		s.Prefixes.Serve(ctx, st, v)
@@ -182,7 +182,7 @@
 // leaving takes another side's word that it leaves, or a router's word that this VM is listed as leaving.
 func (s *Service) leaving(from peer.Hello) {
 	if from.Role == peer.RoleRouter {
-		s.Door.Listed()
+		s.Door.ListedLeaving()
 		return
 	}
 	s.Door.Forget(settings.UpstreamID(from.ID))
@@ -195,7 +195,7 @@
 		return
 	}
 	theirs := sample(v)
-	mine := s.Door.Exchange(&theirs)
+	mine := s.Door.ExchangeSample(&theirs)
 	_ = st.Send(ctx, message(name, mine))
 }
 
@@ -209,7 +209,7 @@
 
 // claim asks every side whose word is missing for the records that belong here now.
 func (s *Service) claim(ctx context.Context) {
-	for _, q := range s.Door.Claims() {
+	for _, q := range s.Door.PendingClaims() {
 		s.claimFrom(ctx, q.Claim, q.Address)
 	}
 }
@@ -235,7 +235,7 @@
 		if !ok {
 			return
 		}
-		s.Door.Claimed(h)
+		s.Door.ApplyHandover(h)
 	}
 }
 
