--- a/core/admit/controller.go
+++ b/core/admit/controller.go
@@ -41,47 +41,47 @@
 	Multiple float64
 	// PrefillWeight is the work of one prompt token in units of one answer token.
 	PrefillWeight float64
-	// Import says that the engine can take in a prefix that another one exports.
-	Import bool
+	// CanImport says that the engine can take in a prefix that another one exports.
+	CanImport bool
 }
 
-// Ask is one request that a side may take.
-type Ask struct {
-	Chat   uint64
-	Prompt settings.Tokens
-	Decode settings.Tokens
-	// Home says that this side is the chat's home.
-	Home bool
-	// Sent says that another side sent the request here.
-	Sent bool
+// Request is one request that a side may take.
+type Request struct {
+	Chat         uint64
+	PromptTokens settings.Tokens
+	DecodeTokens settings.Tokens
+	// IsPrimary says that this side is the chat's home.
+	IsPrimary bool
+	// Redirected says that another side sent the request here.
+	Redirected bool
 	// Moved says that a side which carries too much moves the request here.
 	Moved bool
-	// Last says that every other side asked had more load; only what cannot be run is refused then.
-	Last bool
-	// Holder is a side that may export the prefix.
-	Holder settings.UpstreamID
+	// LastCandidate says that every other side asked had more load; only what cannot be run is refused then.
+	LastCandidate bool
+	// CacheOwner is a side that may export the prefix.
+	CacheOwner settings.UpstreamID
 }
 
-// Verdict is the answer to an Ask.
-type Verdict struct {
-	Admit bool
+// Decision is the answer to an Ask.
+type Decision struct {
+	Admitted bool
 	// Charge is the work to count until the request ends; Prefill is the part that ends with the first token.
 	Charge  settings.Tokens
 	Prefill settings.Tokens
-	// Import names the side to fetch the prefix from, and Holder one that has it, where the request goes elsewhere.
-	Import settings.UpstreamID
-	Holder settings.UpstreamID
+	// ImportFrom names the side to fetch the prefix from, and Holder one that has it, where the request goes elsewhere.
+	ImportFrom settings.UpstreamID
+	CacheOwner settings.UpstreamID
 	// Next are sides to ask instead, best first, empty ones after the last.
 	Next [2]settings.UpstreamID
 }
 
 // Controller holds what one side knows of load and prefixes. It has no clock and no randomness of its own.
 type Controller struct {
-	Self      settings.UpstreamID
-	Policy    Policy
-	Estimator mean.Estimator
-	Directory holder.Directory
-	Prefixes  Prefixes
+	Self        settings.UpstreamID
+	Policy      Policy
+	Estimator   mean.Estimator
+	CacheOwners holder.Directory
+	Prefixes    Prefixes
 
 	load settings.Tokens
 	// unknownSince is when the estimate was first missed.
@@ -120,27 +120,27 @@
 const unlimited = settings.Tokens(1e18)
 
 // Decide answers an ask; an admitted request's charge is counted at once.
-func (c *Controller) Decide(now clock.Instant, ask Ask) Verdict {
-	cached := min(ask.Prompt, c.Prefixes.Cached(ask.Chat))
+func (c *Controller) Decide(now clock.Instant, ask Request) Decision {
+	cached := min(ask.PromptTokens, c.Prefixes.Cached(ask.Chat))
 	v := c.price(ask, cached)
 	saved := c.prefill(cached)
 	here := saved > significant*v.Charge
-	v.Holder = ask.Holder
+	v.CacheOwner = ask.CacheOwner
 	if here {
-		v.Holder = c.Self
+		v.CacheOwner = c.Self
 	}
-	if !here && !ask.Sent && ask.Home {
+	if !here && !ask.Redirected && ask.IsPrimary {
 		if to, ok := c.redirect(ask, v.Charge); ok {
 			v.Next[0] = to
-			v.Holder = to
+			v.CacheOwner = to
 			return v
 		}
 	}
-	if !here && !ask.Sent && c.large(now, v.Charge) {
+	if !here && !ask.Redirected && c.large(now, v.Charge) {
 		// Such a request is placed by load from the start, since moving others out of its way costs more.
 		c.elsewhere(now, ask, &v)
 		if v.Next[0] != "" {
-			v.Import = ""
+			v.ImportFrom = ""
 			return v
 		}
 	}
@@ -151,13 +151,13 @@
 	case ask.Moved:
 		room = moveRoom
 	}
-	if ask.Last || c.load+v.Charge <= c.limit(now, room, v.Charge) {
-		v.Admit = true
+	if ask.LastCandidate || c.load+v.Charge <= c.limit(now, room, v.Charge) {
+		v.Admitted = true
 		c.load += v.Charge
 		c.Prefixes.Used(ask.Chat)
 		return v
 	}
-	v.Import = ""
+	v.ImportFrom = ""
 	c.elsewhere(now, ask, &v)
 	return v
 }
@@ -169,13 +169,13 @@
 }
 
 // price returns the charge of a request of which a part of the prompt is cached here.
-func (c *Controller) price(ask Ask, cached settings.Tokens) Verdict {
-	missing := c.prefill(ask.Prompt - cached)
-	v := Verdict{Charge: ask.Decode + missing, Prefill: missing}
+func (c *Controller) price(ask Request, cached settings.Tokens) Decision {
+	missing := c.prefill(ask.PromptTokens - cached)
+	v := Decision{Charge: ask.DecodeTokens + missing, Prefill: missing}
 	pays := missing > significant*v.Charge
-	if c.Policy.Import && pays && ask.Holder != "" && ask.Holder != c.Self {
-		v.Import = ask.Holder
-		v.Charge = ask.Decode
+	if c.Policy.CanImport && pays && ask.CacheOwner != "" && ask.CacheOwner != c.Self {
+		v.ImportFrom = ask.CacheOwner
+		v.Charge = ask.DecodeTokens
 		v.Prefill = 0
 	}
 	return v
@@ -187,19 +187,19 @@
 }
 
 // redirect names the side that holds the chat's prefix, if asking there can pay.
-func (c *Controller) redirect(ask Ask, charge settings.Tokens) (settings.UpstreamID, bool) {
-	first, _ := c.Directory.Holders(ask.Chat)
-	if first == "" || first == c.Self || c.prefill(ask.Prompt) <= significant*charge {
+func (c *Controller) redirect(ask Request, charge settings.Tokens) (settings.UpstreamID, bool) {
+	first, _ := c.CacheOwners.Holders(ask.Chat)
+	if first == "" || first == c.Self || c.prefill(ask.PromptTokens) <= significant*charge {
 		return "", false
 	}
 	return first, true
 }
 
 // elsewhere fills in the sides to ask instead: the chat's other holder, then lightly loaded sides.
-func (c *Controller) elsewhere(now clock.Instant, ask Ask, v *Verdict) {
+func (c *Controller) elsewhere(now clock.Instant, ask Request, v *Decision) {
 	n := 0
-	if ask.Home && !ask.Sent {
-		first, second := c.Directory.Holders(ask.Chat)
+	if ask.IsPrimary && !ask.Redirected {
+		first, second := c.CacheOwners.Holders(ask.Chat)
 		if first == c.Self {
 			first = second
 		}
@@ -222,21 +222,21 @@
 }
 
 // FirstToken takes the prefill part off the load when a request's first token is there.
-func (c *Controller) FirstToken(v *Verdict) {
+func (c *Controller) FirstToken(v *Decision) {
 	c.load -= v.Prefill
 	v.Charge -= v.Prefill
 	v.Prefill = 0
 }
 
 // Release takes what is left of a request's charge off the load.
-func (c *Controller) Release(v *Verdict) {
+func (c *Controller) Release(v *Decision) {
 	c.load -= v.Charge
 	v.Charge = 0
 	v.Prefill = 0
 }
 
-// Excess returns the work that should move away, or zero while the side carries no more than it should.
-func (c *Controller) Excess(now clock.Instant) settings.Tokens {
+// ExcessLoad returns the work that should move away, or zero while the side carries no more than it should.
+func (c *Controller) ExcessLoad(now clock.Instant) settings.Tokens {
 	m, known := c.Estimator.Mean(now)
 	if !known || c.load <= c.above(m, shedRoom) {
 		return 0
@@ -251,14 +251,14 @@
 
 // Move is work that should go to another side: the request whose charge is nearest to Charge, and none above Most.
 type Move struct {
-	To     settings.UpstreamID
-	Charge settings.Tokens
-	Most   settings.Tokens
+	To        settings.UpstreamID
+	Charge    settings.Tokens
+	MaxCharge settings.Tokens
 }
 
-// Shed returns the move that brings the side nearer to the mean, if it carries too much and a lighter side is known.
-func (c *Controller) Shed(now clock.Instant) (Move, bool) {
-	excess := c.Excess(now)
+// NextMove returns the move that brings the side nearer to the mean, if it carries too much and a lighter side is known.
+func (c *Controller) NextMove(now clock.Instant) (Move, bool) {
+	excess := c.ExcessLoad(now)
 	if excess <= 0 {
 		return Move{}, false
 	}
@@ -268,16 +268,16 @@
 	}
 	// Beyond half the difference the two sides would only change places.
 	half := (c.load - load) / 2
-	return Move{To: to, Charge: min(excess, half), Most: half * mostOfHalf}, true
+	return Move{To: to, Charge: min(excess, half), MaxCharge: half * mostOfHalf}, true
 }
 
-// Moved counts a moved request's charge towards its new side.
-func (c *Controller) Moved(to settings.UpstreamID, charge settings.Tokens) {
+// RecordMove counts a moved request's charge towards its new side.
+func (c *Controller) RecordMove(to settings.UpstreamID, charge settings.Tokens) {
 	c.Estimator.Sent(to, charge)
 }
 
-// Imported corrects a request's charge when fewer tokens of its prefix came than were expected.
-func (c *Controller) Imported(v *Verdict, missing settings.Tokens) {
+// RecordMissingImport corrects a request's charge when fewer tokens of its prefix came than were expected.
+func (c *Controller) RecordMissingImport(v *Decision, missing settings.Tokens) {
 	work := c.prefill(missing)
 	c.load += work
 	v.Charge += work
--- a/core/admit/prefixes.go
+++ b/core/admit/prefixes.go
@@ -39,8 +39,8 @@
 // Used notes that the engine is using a chat's prefix.
 func (p *Prefixes) Used(chat uint64) { p.table().Get(chat) }
 
-// Stored notes that the engine has just held this many tokens of a chat.
-func (p *Prefixes) Stored(chat uint64, n settings.Tokens) {
+// RecordStored notes that the engine has just held this many tokens of a chat.
+func (p *Prefixes) RecordStored(chat uint64, n settings.Tokens) {
 	t := p.table()
 	t.Remove(chat)
 	t.Add(chat, n)
--- a/core/internal/benchdecisions/engine.go
+++ b/core/internal/benchdecisions/engine.go
@@ -36,7 +36,7 @@
 	ticket  int // counts placements, so that events of an earlier one are ignored
 	began   float64
 	release func()
-	verdict admit.Verdict
+	verdict admit.Decision
 }
 
 func newRequest(s *sim, c *chat) *request {
--- a/core/internal/benchdecisions/ours.go
+++ b/core/internal/benchdecisions/ours.go
@@ -37,7 +37,7 @@
 }
 
 func (o *ours) controller(e *engine) *admit.Controller {
-	c := &admit.Controller{Self: e.id, Policy: admit.Policy{Multiple: o.sim.multiple, PrefillWeight: prefillWeight, Import: true}}
+	c := &admit.Controller{Self: e.id, Policy: admit.Policy{Multiple: o.sim.multiple, PrefillWeight: prefillWeight, CanImport: true}}
 	c.Prefixes.Limit = cacheTokens
 	return c
 }
@@ -76,10 +76,10 @@
 			continue
 		}
 		v := o.ask(r, e, step, holder, false)
-		if v.Holder != "" {
-			holder = v.Holder
+		if v.CacheOwner != "" {
+			holder = v.CacheOwner
 		}
-		if !v.Admit {
+		if !v.Admitted {
 			walk.Refused(v.Next[:])
 			walk.Loaded(step.Side, o.sides[e.index].Load())
 			continue
@@ -91,34 +91,34 @@
 	}
 }
 
-func (o *ours) ask(r *request, e *engine, step route.Step, holder settings.UpstreamID, moved bool) admit.Verdict {
+func (o *ours) ask(r *request, e *engine, step route.Step, holder settings.UpstreamID, moved bool) admit.Decision {
 	home, _ := o.exact.Home(r.chat.id)
-	return o.sides[e.index].Decide(o.sim.instant(), admit.Ask{
-		Chat:   r.chat.id,
-		Prompt: settings.Tokens(r.prompt),
-		Decode: settings.Tokens(r.expected),
-		Home:   home == e.id,
-		Sent:   step.Redirected,
-		Moved:  moved,
-		Last:   step.Last,
-		Holder: holder,
+	return o.sides[e.index].Decide(o.sim.instant(), admit.Request{
+		Chat:          r.chat.id,
+		PromptTokens:  settings.Tokens(r.prompt),
+		DecodeTokens:  settings.Tokens(r.expected),
+		IsPrimary:     home == e.id,
+		Redirected:    step.Redirected,
+		Moved:         moved,
+		LastCandidate: step.Last,
+		CacheOwner:    holder,
 	})
 }
 
-func (o *ours) admitted(r *request, e *engine, home settings.UpstreamID, v admit.Verdict, p *placement) {
+func (o *ours) admitted(r *request, e *engine, home settings.UpstreamID, v admit.Decision, p *placement) {
 	side := o.sides[e.index]
-	if v.Import != "" {
-		if from := o.sim.engines[o.sim.index[v.Import]]; !from.down && !from.silent && from != e {
+	if v.ImportFrom != "" {
+		if from := o.sim.engines[o.sim.index[v.ImportFrom]]; !from.down && !from.silent && from != e {
 			p.importFrom = from
 		}
 	}
 	o.sim.at(o.sim.now, func() { o.shed(e) })
-	if v.Import != "" {
+	if v.ImportFrom != "" {
 		missing := r.prompt
 		if p.importFrom != nil {
 			missing = max(0, r.prompt-p.importFrom.peek(r.chat.id))
 		}
-		side.Imported(&v, settings.Tokens(missing))
+		side.RecordMissingImport(&v, settings.Tokens(missing))
 	}
 	r.verdict = v
 	r.release = func() {
@@ -126,22 +126,22 @@
 			side.Release(&r.verdict)
 		}
 	}
-	o.sides[o.sim.index[home]].Directory.Served(r.chat.id, e.id)
+	o.sides[o.sim.index[home]].CacheOwners.Served(r.chat.id, e.id)
 }
 
 func (o *ours) warm(c *chat, e *engine) {
-	o.sides[e.index].Prefixes.Stored(c.id, settings.Tokens(c.context))
-	o.sides[e.index].Directory.Served(c.id, e.id)
+	o.sides[e.index].Prefixes.RecordStored(c.id, settings.Tokens(c.context))
+	o.sides[e.index].CacheOwners.Served(c.id, e.id)
 }
 
 func (o *ours) firstToken(r *request) {
 	side := o.sides[r.engine.index]
 	side.FirstToken(&r.verdict)
-	side.Prefixes.Stored(r.chat.id, settings.Tokens(r.prompt))
+	side.Prefixes.RecordStored(r.chat.id, settings.Tokens(r.prompt))
 }
 
 func (o *ours) served(r *request, e *engine) {
-	o.sides[e.index].Prefixes.Stored(r.chat.id, settings.Tokens(r.prompt+r.decode))
+	o.sides[e.index].Prefixes.RecordStored(r.chat.id, settings.Tokens(r.prompt+r.decode))
 }
 
 func (o *ours) back(e *engine) {
@@ -194,7 +194,7 @@
 	side := o.sides[e.index]
 	asked := settings.UpstreamID("")
 	for range maxShedSteps {
-		m, ok := side.Shed(o.sim.instant())
+		m, ok := side.NextMove(o.sim.instant())
 		if !ok {
 			return
 		}
@@ -210,7 +210,7 @@
 		}
 		asked = ""
 		if r := o.movable(e, m); r == nil || !o.move(r, e, m.To) {
-			side.Moved(m.To, m.Charge)
+			side.RecordMove(m.To, m.Charge)
 		}
 	}
 }
@@ -224,7 +224,7 @@
 	var best *request
 	for _, set := range []map[*request]bool{e.waiting, e.running} {
 		for r := range set {
-			if r.charge > m.Most {
+			if r.charge > m.MaxCharge {
 				continue
 			}
 			if best == nil || e.stage(r) < e.stage(best) || e.stage(r) == e.stage(best) && fitsBetter(r, best, m.Charge) {
@@ -259,8 +259,8 @@
 	side := o.sides[e.index]
 	to := o.sim.engines[o.sim.index[target]]
 	v := o.ask(r, to, route.Step{Side: target, Redirected: true}, e.id, true)
-	side.Moved(target, r.charge)
-	if !v.Admit {
+	side.RecordMove(target, r.charge)
+	if !v.Admitted {
 		return false
 	}
 	if r.first {
--- a/core/placement/choose.go
+++ b/core/placement/choose.go
@@ -10,10 +10,10 @@
 	DataCentre settings.DataCentre
 	// Load is the number of requests open at it over all routers, Slots how many it runs at a time.
 	Load, Slots int
-	// Held is the part of the prompt that it need not read again.
-	Held settings.Tokens
-	// Rank is its place in the rendezvous order of the request's key, 0 for the first.
-	Rank int
+	// CachedTokens is the part of the prompt that it need not read again.
+	CachedTokens settings.Tokens
+	// RendezvousRank is its place in the rendezvous order of the request's key, 0 for the first.
+	RendezvousRank int
 	// Cold says that it has just started and is slow.
 	Cold bool
 	// Failed says that the request failed there before.
@@ -25,8 +25,8 @@
 // Request is what the choice depends on.
 type Request struct {
 	DataCentre settings.DataCentre
-	// Shared is the part of the prompt that other requests may share.
-	Shared settings.Tokens
+	// SharedTokens is the part of the prompt that other requests may share.
+	SharedTokens settings.Tokens
 	// Affinity says that the upstreams cache prompts.
 	Affinity bool
 }
@@ -40,14 +40,14 @@
 	LongPrefix              settings.Tokens
 	// TokensPerRequest is the number of prompt tokens whose reading costs as much as one open request.
 	TokensPerRequest settings.Tokens
-	// RankCost is the cost of leaving the first upstream in the rendezvous order, so that routers that know nothing of
+	// NonPrimaryCost is the cost of leaving the first upstream in the rendezvous order, so that routers that know nothing of
 	// a prompt choose alike.
-	RankCost float64
+	NonPrimaryCost float64
 	// DistanceCost is the cost of another data centre, and ColdCost that of an upstream that has just started.
 	DistanceCost, ColdCost float64
-	// FailedCost is the cost of an upstream at which the request failed before: a long prompt that is cached there is
+	// FailureCost is the cost of an upstream at which the request failed before: a long prompt that is cached there is
 	// worth a second try at the same place.
-	FailedCost float64
+	FailureCost float64
 	// Overcommit is how many requests an upstream may hold for each of its slots.
 	Overcommit float64
 }
@@ -69,13 +69,13 @@
 	Reason Reason
 	// Index is the place of the chosen candidate.
 	Index int
-	// Mean and Bound are the mean load and the bound on the chosen candidate.
-	Mean, Bound float64
+	// MeanLoad and LoadBound are the mean load and the bound on the chosen candidate.
+	MeanLoad, LoadBound float64
 	// Load and Held are those of the chosen candidate.
-	Load int
-	Held settings.Tokens
-	// Holder is the candidate that holds most of the prompt, where that is not the chosen one; nil for none.
-	Holder *Candidate
+	Load         int
+	CachedTokens settings.Tokens
+	// CacheOwner is the candidate that holds most of the prompt, where that is not the chosen one; nil for none.
+	CacheOwner *Candidate
 }
 
 // Choose returns the candidate with the least cost within the load bound. Two load patterns set the costs: sessions that
@@ -90,12 +90,12 @@
 	if n == 0 {
 		return Choice{Reason: NoUpstream}
 	}
-	choice := Choice{Reason: NoUpstream, Mean: float64(sum) / float64(n)}
+	choice := Choice{Reason: NoUpstream, MeanLoad: float64(sum) / float64(n)}
 	best := 0.0
 	var holder *Candidate
 	for i := range candidates {
 		c := &candidates[i]
-		if c.Held > 0 && (holder == nil || c.Held > holder.Held) {
+		if c.CachedTokens > 0 && (holder == nil || c.CachedTokens > holder.CachedTokens) {
 			holder = c
 		}
 		if c.Excluded {
@@ -107,15 +107,15 @@
 			}
 			continue
 		}
-		cost := p.cost(r, c, choice.Mean)
+		cost := p.cost(r, c, choice.MeanLoad)
 		if choice.Reason != Chosen || cost < best {
 			choice.Reason, choice.Index, best = Chosen, i, cost
-			choice.Bound = p.bound(r, c, choice.Mean)
-			choice.Load, choice.Held = c.Load, c.Held
+			choice.LoadBound = p.bound(r, c, choice.MeanLoad)
+			choice.Load, choice.CachedTokens = c.Load, c.CachedTokens
 		}
 	}
-	if holder != nil && holder.Held > choice.Held {
-		choice.Holder = holder
+	if holder != nil && holder.CachedTokens > choice.CachedTokens {
+		choice.CacheOwner = holder
 	}
 	return choice
 }
@@ -125,7 +125,7 @@
 const overBound = 1e6
 
 func (p *Policy) bound(r *Request, c *Candidate, mean float64) float64 {
-	if r.Affinity && c.Held >= p.LongPrefix {
+	if r.Affinity && c.CachedTokens >= p.LongPrefix {
 		return p.LongMultiple*mean + p.LongSlack
 	}
 	return p.Multiple*mean + p.Slack
@@ -137,16 +137,16 @@
 		return overBound + cost
 	}
 	if r.Affinity {
-		cost += float64(max(0, r.Shared-c.Held) / p.TokensPerRequest)
+		cost += float64(max(0, r.SharedTokens-c.CachedTokens) / p.TokensPerRequest)
 	}
-	if c.Rank > 0 && c.Held < r.Shared {
-		cost += p.RankCost
+	if c.RendezvousRank > 0 && c.CachedTokens < r.SharedTokens {
+		cost += p.NonPrimaryCost
 	}
 	if c.DataCentre != r.DataCentre {
 		cost += p.DistanceCost
 	}
 	if c.Failed {
-		cost += p.FailedCost
+		cost += p.FailureCost
 	}
 	if c.Cold {
 		cost += p.ColdCost
--- a/core/placement/choose_test.go
+++ b/core/placement/choose_test.go
@@ -13,16 +13,16 @@
 // policy is like the one for engines.
 var policy = Policy{
 	Multiple: 1.4, Slack: 2, LongMultiple: 1.75, LongSlack: 2.5, LongPrefix: 2000,
-	TokensPerRequest: 300, RankCost: 2, DistanceCost: 0.25, ColdCost: 3, FailedCost: 12, Overcommit: 1,
+	TokensPerRequest: 300, NonPrimaryCost: 2, DistanceCost: 0.25, ColdCost: 3, FailureCost: 12, Overcommit: 1,
 }
 
 func candidate(id string, load int, held settings.Tokens) Candidate {
-	return Candidate{ID: settings.UpstreamID(id), DataCentre: "kano", Load: load, Slots: 64, Held: held}
+	return Candidate{ID: settings.UpstreamID(id), DataCentre: "kano", Load: load, Slots: 64, CachedTokens: held}
 }
 
 func TestChoose(t *testing.T) {
-	letter := Request{DataCentre: "kano", Shared: 10_500, Affinity: true}
-	query := Request{DataCentre: "kano", Shared: 600, Affinity: true}
+	letter := Request{DataCentre: "kano", SharedTokens: 10_500, Affinity: true}
+	query := Request{DataCentre: "kano", SharedTokens: 600, Affinity: true}
 	excluded := candidate("b", 0, 10_500)
 	excluded.Excluded = true
 	failed := candidate("b", 4, 10_500)
@@ -88,10 +88,10 @@
 		for i := range candidates {
 			candidates[i] = candidate(fmt.Sprint(i), loads[i], 0)
 			if held[i][prompt] {
-				candidates[i].Held = 10_500
+				candidates[i].CachedTokens = 10_500
 			}
 		}
-		choice := Choose(&policy, &Request{DataCentre: "kano", Shared: 10_500, Affinity: true}, candidates)
+		choice := Choose(&policy, &Request{DataCentre: "kano", SharedTokens: 10_500, Affinity: true}, candidates)
 		c.Assert(choice.Reason, qt.Equals, Chosen)
 		if !held[choice.Index][prompt] {
 			read++
--- a/core/waiting/queue.go
+++ b/core/waiting/queue.go
@@ -104,8 +104,8 @@
 	l.waiters = slices.DeleteFunc(l.waiters, func(other *Waiter) bool { return other == t })
 }
 
-// Ended notes that a request of the service has ended, and wakes the first in its queue.
-func (q *Queues) Ended(now clock.Instant, name settings.ServiceName) {
+// RequestEnded notes that a request of the service has ended, and wakes the first in its queue.
+func (q *Queues) RequestEnded(now clock.Instant, name settings.ServiceName) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	l := q.queue(name)
@@ -139,5 +139,5 @@
 
 func clamp(d time.Duration) time.Duration { return min(max(d, minRetryAfter), maxRetryAfter) }
 
-// NoUpstreamTime returns how long a request waits while its service has no upstream.
-func NoUpstreamTime(left time.Duration) time.Duration { return min(noUpstreamTime, left/4) }
+// NoUpstreamWait returns how long a request waits while its service has no upstream.
+func NoUpstreamWait(left time.Duration) time.Duration { return min(noUpstreamTime, left/4) }
--- a/core/waiting/queue_test.go
+++ b/core/waiting/queue_test.go
@@ -32,7 +32,7 @@
 	}
 	for i, waiter := range []*Waiter{urgent, first, second} {
 		c.Assert(woken(waiter), qt.IsFalse)
-		r.Ended(clock.Instant(i+2)*ms, "letters")
+		r.RequestEnded(clock.Instant(i+2)*ms, "letters")
 		c.Assert(woken(waiter), qt.IsTrue)
 	}
 	c.Assert(r.Length("letters"), qt.Equals, 0)
@@ -46,7 +46,7 @@
 	now := clock.Instant(time.Second)
 	for range 200 {
 		now = now.Add(10 * time.Millisecond)
-		r.Ended(now, "letters")
+		r.RequestEnded(now, "letters")
 	}
 	waiting := 0
 	for range 400 {
@@ -78,7 +78,7 @@
 	c.Assert(r.Enter(ms, "letters", a), qt.IsNil)
 	c.Assert(r.Enter(ms, "letters", b), qt.IsNil)
 	r.Leave("letters", a)
-	r.Ended(2*ms, "letters")
+	r.RequestEnded(2*ms, "letters")
 	c.Assert(woken(a), qt.IsFalse)
 	c.Assert(woken(b), qt.IsTrue)
 }
--- a/router/internal/client/serve.go
+++ b/router/internal/client/serve.go
@@ -146,13 +146,13 @@
 		"request", r.ID, "route", r.Route, "revision", r.Revision, "service", r.Service, "team", r.Team,
 		"upstream", res.Upstream, "outcome", res.Outcome, "code", res.Code, "status", res.Status,
 		"runs", res.Runs, "tries", res.Tries, "events", res.Events,
-		"load", res.Choice.Load, "mean_load", round(res.Choice.Mean), "load_bound", round(res.Choice.Bound),
-		"prompt", r.SharedID().String(), "shared_tokens", int(r.Shared()), "cached_tokens", int(res.Choice.Held),
+		"load", res.Choice.Load, "mean_load", round(res.Choice.MeanLoad), "load_bound", round(res.Choice.LoadBound),
+		"prompt", r.SharedID().String(), "shared_tokens", int(r.Shared()), "cached_tokens", int(res.Choice.CachedTokens),
 		"waited_ms", res.Waited.Milliseconds(), "first_ms", res.FirstByte.Milliseconds(), "duration_ms", took.Milliseconds(),
 		"left_ms", r.Deadline.Sub(s.Clock.Now()).Milliseconds(),
 	}
-	if h := res.Choice.Holder; h != nil {
-		line = append(line, "holder", h.ID, "holder_tokens", int(h.Held), "holder_load", h.Load, "holder_excluded", h.Excluded)
+	if h := res.Choice.CacheOwner; h != nil {
+		line = append(line, "holder", h.ID, "holder_tokens", int(h.CachedTokens), "holder_load", h.Load, "holder_excluded", h.Excluded)
 	}
 	s.Log.Info("request", line...)
 	switch {
--- a/router/internal/direct/attempt.go
+++ b/router/internal/direct/attempt.go
@@ -36,7 +36,7 @@
 	d.Ledger.Begin(i.ID)
 	defer func() {
 		d.Ledger.End(i.ID)
-		d.Queues.Ended(d.Clock.Now(), x.Service)
+		d.Queues.RequestEnded(d.Clock.Now(), x.Service)
 	}()
 	conn, err := d.Connections.Get(ctx, i, !x.Terms.Repeatable())
 	if err != nil {
--- a/router/internal/direct/dispatch.go
+++ b/router/internal/direct/dispatch.go
@@ -170,7 +170,7 @@
 func (x *exchange) wait(ctx context.Context, reason placement.Reason, begun clock.Instant) bool {
 	now := x.d.Clock.Now()
 	if reason == placement.NoUpstream {
-		if now.Sub(begun) >= waiting.NoUpstreamTime(x.TimeLeft(begun)) {
+		if now.Sub(begun) >= waiting.NoUpstreamWait(x.TimeLeft(begun)) {
 			x.giveUp(ctx, CodeNoUpstream, defaultRetryAfter)
 			return false
 		}
--- a/router/internal/direct/place.go
+++ b/router/internal/direct/place.go
@@ -43,10 +43,10 @@
 	LongPrefix: 2000,
 	// Reading 300 tokens takes an engine as long as a few steps of a batch with one request more.
 	TokensPerRequest: 300,
-	RankCost:         2,
+	NonPrimaryCost:   2,
 	DistanceCost:     0.25,
 	ColdCost:         3,
-	FailedCost:       12,
+	FailureCost:      12,
 	Overcommit:       1,
 }
 
@@ -55,7 +55,7 @@
 	Multiple: 1.6, Slack: 2,
 	DistanceCost: 0.9,
 	ColdCost:     2,
-	FailedCost:   1000,
+	FailureCost:  1000,
 	// A request that waits at the upstream behind one other for each slot is still on time.
 	Overcommit: 2,
 }
@@ -79,7 +79,7 @@
 	if r.Terms.Affinity {
 		policy = &enginePolicy
 	}
-	request := &placement.Request{DataCentre: d.DataCentre, Shared: r.Shared(), Affinity: r.Terms.Affinity}
+	request := &placement.Request{DataCentre: d.DataCentre, SharedTokens: r.Shared(), Affinity: r.Terms.Affinity}
 	choice := placement.Choose(policy, request, candidates)
 	if choice.Reason != placement.Chosen {
 		return members.Instance{}, choice
@@ -99,16 +99,16 @@
 	candidates := make([]placement.Candidate, len(serving))
 	for i := range serving {
 		candidates[i] = placement.Candidate{
-			ID:         ids[i],
-			DataCentre: serving[i].DataCentre,
-			Load:       loads[i],
-			Slots:      serving[i].Slots,
-			Rank:       ranks[i],
-			Cold:       serving[i].Cold > 0 && d.Members.Cold(now, ids[i]) > 0,
-			Excluded:   excluded[i],
+			ID:             ids[i],
+			DataCentre:     serving[i].DataCentre,
+			Load:           loads[i],
+			Slots:          serving[i].Slots,
+			RendezvousRank: ranks[i],
+			Cold:           serving[i].Cold > 0 && d.Members.Cold(now, ids[i]) > 0,
+			Excluded:       excluded[i],
 		}
 		if held != nil {
-			candidates[i].Held = held[i]
+			candidates[i].CachedTokens = held[i]
 		}
 	}
 	return candidates
--- a/side/internal/router/door.go
+++ b/side/internal/router/door.go
@@ -108,7 +108,7 @@
 func PolicyOf(s settings.Service) admit.Policy {
 	// One engine decodes MaxRunning streams while it could prefill PrefillRate tokens.
 	weight := float64(s.DecodeRate) * float64(s.MaxRunning) / float64(s.PrefillRate)
-	return admit.Policy{Multiple: s.Multiple, PrefillWeight: weight, Import: s.KVTransfer}
+	return admit.Policy{Multiple: s.Multiple, PrefillWeight: weight, CanImport: s.KVTransfer}
 }
 
 // homesChange tells the homes what changed of this service's declared upstreams.
--- a/side/internal/router/dump.go
+++ b/side/internal/router/dump.go
@@ -49,7 +49,7 @@
 		Keys:        d.keys.Len(),
 		KeyBytes:    d.keys.AnswerBytes(),
 		KeysCovered: d.homes.Covered(now),
-		Directory:   d.admission.Directory.Len(),
+		Directory:   d.admission.CacheOwners.Len(),
 		Prefixes:    d.admission.Prefixes.Len(),
 	}
 	if known {
--- a/side/internal/router/job.go
+++ b/side/internal/router/job.go
@@ -18,7 +18,7 @@
 	submit   *peer.Submit
 	profile  settings.Profile
 	deadline clock.Instant
-	verdict  admit.Verdict
+	verdict  admit.Decision
 	item     *share.Item
 	record   *outcome.Record
 	slot     chan struct{}
--- a/side/internal/router/prefix.go
+++ b/side/internal/router/prefix.go
@@ -12,7 +12,7 @@
 
 // fetchPrefix brings a job's prefix from the side that holds it, and corrects the job's charge by what is missing.
 func (d *Door) fetchPrefix(j *job) {
-	holder := j.verdict.Import
+	holder := j.verdict.ImportFrom
 	if holder == "" {
 		return
 	}
@@ -29,7 +29,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.admission.Imported(&j.verdict, max(0, j.submit.PromptTokens-got))
+	d.admission.RecordMissingImport(&j.verdict, max(0, j.submit.PromptTokens-got))
 	d.Scope.Counter("prefix_tokens_imported").Inc(int64(got))
 }
 
--- a/side/internal/router/run.go
+++ b/side/internal/router/run.go
@@ -107,9 +107,9 @@
 	if j.submit.Chat == 0 {
 		return
 	}
-	d.admission.Prefixes.Stored(j.submit.Chat, usage.Prompt+usage.Answer)
+	d.admission.Prefixes.RecordStored(j.submit.Chat, usage.Prompt+usage.Answer)
 	if home, ok := d.set.Home(j.submit.Chat); ok && home == d.Self {
-		d.admission.Directory.Served(j.submit.Chat, d.Self)
+		d.admission.CacheOwners.Served(j.submit.Chat, d.Self)
 	}
 }
 
@@ -194,7 +194,7 @@
 	defer s.door.mu.Unlock()
 	s.door.admission.FirstToken(&s.job.verdict)
 	if m := s.job.submit; m.Chat != 0 {
-		s.door.admission.Prefixes.Stored(m.Chat, m.PromptTokens)
+		s.door.admission.Prefixes.RecordStored(m.Chat, m.PromptTokens)
 	}
 }
 
--- a/side/internal/router/shed.go
+++ b/side/internal/router/shed.go
@@ -13,7 +13,7 @@
 
 // wakeShed asks for a look at the load; the caller holds the lock.
 func (d *Door) wakeShed() {
-	if d.admission.Excess(d.Clock.Now()) <= 0 {
+	if d.admission.ExcessLoad(d.Clock.Now()) <= 0 {
 		return
 	}
 	select {
@@ -39,7 +39,7 @@
 	if d.service.Kind != settings.KindModel || d.isLeaving(d.Clock.Now()) {
 		return admit.Move{}, false
 	}
-	return d.admission.Shed(d.Clock.Now())
+	return d.admission.NextMove(d.Clock.Now())
 }
 
 // MoveRequest moves one request to a side whose load was just asked for; it reports whether it did.
@@ -52,10 +52,10 @@
 	}
 	j := d.movable(m)
 	if j == nil {
-		d.admission.Moved(m.To, m.Charge)
+		d.admission.RecordMove(m.To, m.Charge)
 		return false
 	}
-	d.admission.Moved(m.To, j.verdict.Charge)
+	d.admission.RecordMove(m.To, j.verdict.Charge)
 	j.moveTo = m.To
 	j.cut()
 	d.Scope.Counter("moved").Inc(1)
@@ -70,7 +70,7 @@
 func (d *Door) movable(m admit.Move) *job {
 	var best *job
 	for j := range d.jobs {
-		if j.stopped || !j.profile.Idempotent || j.submit.Moves >= maxMoves || j.verdict.Charge > m.Most {
+		if j.stopped || !j.profile.Idempotent || j.submit.Moves >= maxMoves || j.verdict.Charge > m.MaxCharge {
 			continue
 		}
 		if j.item.Started() && j.chunks.Load() == 0 {
--- a/side/internal/router/submit.go
+++ b/side/internal/router/submit.go
@@ -142,21 +142,21 @@
 func (d *Door) admit(j *job) *refusal {
 	m := j.submit
 	home, _ := d.set.Home(m.Chat)
-	ask := admit.Ask{
-		Chat:   m.Chat,
-		Prompt: m.PromptTokens,
-		Decode: d.decodeGuess(m.Profile, j.profile),
-		Home:   home == d.Self,
-		Sent:   m.Redirected,
-		Moved:  m.Moves > 0,
-		Last:   m.Last,
-		Holder: m.Holder,
+	ask := admit.Request{
+		Chat:          m.Chat,
+		PromptTokens:  m.PromptTokens,
+		DecodeTokens:  d.decodeGuess(m.Profile, j.profile),
+		IsPrimary:     home == d.Self,
+		Redirected:    m.Redirected,
+		Moved:         m.Moves > 0,
+		LastCandidate: m.Last,
+		CacheOwner:    m.Holder,
 	}
 	j.verdict = d.admission.Decide(d.Clock.Now(), ask)
-	if j.verdict.Admit {
+	if j.verdict.Admitted {
 		return nil
 	}
-	r := &refusal{code: peer.RefuseOverloaded, retryAfter: d.retryAfter(), load: d.admission.Load(), holder: j.verdict.Holder}
+	r := &refusal{code: peer.RefuseOverloaded, retryAfter: d.retryAfter(), load: d.admission.Load(), holder: j.verdict.CacheOwner}
 	for _, side := range j.verdict.Next {
 		if side != "" {
 			r.next = append(r.next, side)
