--- a/core/admit/controller.go
+++ b/core/admit/controller.go
@@ -80,7 +80,7 @@
 	Self        settings.UpstreamID
 	Policy      Policy
 	Estimator   mean.Estimator
-	CacheOwners holder.Directory
+	CacheOwners holder.Table
 	Prefixes    Prefixes
 
 	load settings.Tokens
@@ -188,7 +188,7 @@
 
 // redirect names the side that holds the chat's prefix, if asking there can pay.
 func (c *Controller) redirect(ask Request, charge settings.Tokens) (settings.UpstreamID, bool) {
-	first, _ := c.CacheOwners.Holders(ask.Chat)
+	first, _ := c.CacheOwners.Owners(ask.Chat)
 	if first == "" || first == c.Self || c.prefill(ask.PromptTokens) <= significant*charge {
 		return "", false
 	}
@@ -199,7 +199,7 @@
 func (c *Controller) elsewhere(now clock.Instant, ask Request, v *Decision) {
 	n := 0
 	if ask.IsPrimary && !ask.Redirected {
-		first, second := c.CacheOwners.Holders(ask.Chat)
+		first, second := c.CacheOwners.Owners(ask.Chat)
 		if first == c.Self {
 			first = second
 		}
@@ -209,7 +209,7 @@
 		}
 	}
 	for n < len(v.Next) {
-		side, _, ok := c.Estimator.Lightest(now, v.Next[0], c.Self)
+		side, _, ok := c.Estimator.LeastLoaded(now, v.Next[0], c.Self)
 		if !ok {
 			return
 		}
@@ -262,7 +262,7 @@
 	if excess <= 0 {
 		return Move{}, false
 	}
-	to, load, ok := c.Estimator.Lightest(now, c.Self)
+	to, load, ok := c.Estimator.LeastLoaded(now, c.Self)
 	if !ok || load >= c.load {
 		return Move{}, false
 	}
--- a/core/admit/controller_test.go
+++ b/core/admit/controller_test.go
@@ -31,11 +31,11 @@
 		next  settings.UpstreamID
 	}{
 		"new chat at an idle home": {nil, Request{Chat: 1, PromptTokens: 100, DecodeTokens: 50, IsPrimary: true}, true, ""},
-		"chat held elsewhere": {func(c *Controller) { c.CacheOwners.Served(1, "other") },
+		"chat held elsewhere": {func(c *Controller) { c.CacheOwners.RecordServed(1, "other") },
 			Request{Chat: 1, PromptTokens: 2000, DecodeTokens: 50, IsPrimary: true}, false, "other"},
-		"chat held elsewhere that the other side sent here": {func(c *Controller) { c.CacheOwners.Served(1, "other") },
+		"chat held elsewhere that the other side sent here": {func(c *Controller) { c.CacheOwners.RecordServed(1, "other") },
 			Request{Chat: 1, PromptTokens: 2000, DecodeTokens: 50, IsPrimary: true, Redirected: true}, true, ""},
-		"short chat held elsewhere is not worth another ask": {func(c *Controller) { c.CacheOwners.Served(1, "other") },
+		"short chat held elsewhere is not worth another ask": {func(c *Controller) { c.CacheOwners.RecordServed(1, "other") },
 			Request{Chat: 1, PromptTokens: 50, DecodeTokens: 50, IsPrimary: true}, true, ""},
 		"cached chat above the mean": {func(c *Controller) { c.load = 1050; c.Prefixes.RecordStored(1, 2000) },
 			Request{Chat: 1, PromptTokens: 2000, DecodeTokens: 50, IsPrimary: true}, true, ""},
@@ -150,7 +150,7 @@
 func BenchmarkDecide(b *testing.B) {
 	c := controller()
 	for i := range uint64(2400) {
-		c.CacheOwners.Served(i, settings.UpstreamID(fmt.Sprint("side-", i%1015)))
+		c.CacheOwners.RecordServed(i, settings.UpstreamID(fmt.Sprint("side-", i%1015)))
 	}
 	b.ReportAllocs()
 	for i := range b.N {
--- a/core/affinity/batch.go
+++ b/core/affinity/batch.go
@@ -39,7 +39,7 @@
 }
 
 // Pack groups holdings by upstream.
-func Pack(list []Holding) []Batch {
+func Pack(list []CacheEntry) []Batch {
 	index := make(map[settings.UpstreamID]int)
 	var batches []Batch
 	for _, h := range list {
@@ -50,22 +50,22 @@
 			batches = append(batches, Batch{Upstream: h.Upstream})
 		}
 		b := &batches[i]
-		b.Parts = binary.BigEndian.AppendUint64(b.Parts, uint64(h.Part))
+		b.Parts = binary.BigEndian.AppendUint64(b.Parts, uint64(h.Block))
 		b.Ages = append(b.Ages, byte(min(maxAge, max(0, h.Age/ageUnit))))
 	}
 	return batches
 }
 
 // Unpack returns the holdings of the batches; it stops at the first MalformedBatchError.
-func Unpack(batches []Batch) ([]Holding, error) {
-	var list []Holding
+func Unpack(batches []Batch) ([]CacheEntry, error) {
+	var list []CacheEntry
 	for _, b := range batches {
 		if len(b.Parts) != partBytes*len(b.Ages) {
 			return list, &MalformedBatchError{Upstream: b.Upstream, PartBytes: len(b.Parts), Count: len(b.Ages)}
 		}
 		for i, age := range b.Ages {
 			part := binary.BigEndian.Uint64(b.Parts[partBytes*i:])
-			list = append(list, Holding{Part: call.PartID(part), Upstream: b.Upstream, Age: time.Duration(age) * ageUnit})
+			list = append(list, CacheEntry{Block: call.PartID(part), Upstream: b.Upstream, Age: time.Duration(age) * ageUnit})
 		}
 	}
 	return list, nil
--- a/core/affinity/batch_test.go
+++ b/core/affinity/batch_test.go
@@ -10,10 +10,10 @@
 
 func TestPackedHoldingsComeBackWhole(t *testing.T) {
 	c := qt.New(t)
-	list := []Holding{
-		{Part: 1, Upstream: "a", Age: 0},
-		{Part: 1 << 63, Upstream: "a", Age: 30 * time.Second},
-		{Part: 7, Upstream: "b", Age: ageUnit},
+	list := []CacheEntry{
+		{Block: 1, Upstream: "a", Age: 0},
+		{Block: 1 << 63, Upstream: "a", Age: 30 * time.Second},
+		{Block: 7, Upstream: "b", Age: ageUnit},
 	}
 	got, err := Unpack(Pack(list))
 	c.Assert(err, qt.IsNil)
@@ -22,7 +22,7 @@
 
 func TestAgesBeyondOneByteStayOld(t *testing.T) {
 	c := qt.New(t)
-	got, err := Unpack(Pack([]Holding{{Part: 1, Upstream: "a", Age: time.Hour}, {Part: 2, Upstream: "a", Age: -time.Second}}))
+	got, err := Unpack(Pack([]CacheEntry{{Block: 1, Upstream: "a", Age: time.Hour}, {Block: 2, Upstream: "a", Age: -time.Second}}))
 	c.Assert(err, qt.IsNil)
 	c.Assert(got[0].Age > keepTime, qt.IsTrue)
 	c.Assert(got[1].Age, qt.Equals, time.Duration(0))
--- a/core/affinity/directory.go
+++ b/core/affinity/directory.go
@@ -25,9 +25,9 @@
 	renewTime = 5 * time.Second
 )
 
-// Holding is one upstream that has read a part.
-type Holding struct {
-	Part     call.PartID
+// CacheEntry is one upstream that has read a part.
+type CacheEntry struct {
+	Block    call.PartID
 	Upstream settings.UpstreamID
 	// Age is the time since the last use.
 	Age time.Duration
@@ -47,15 +47,15 @@
 	again bool
 }
 
-// Directory maps parts to their holders; its zero value is empty.
-type Directory struct {
+// Index maps parts to their holders; its zero value is empty.
+type Index struct {
 	mu    sync.Mutex
 	parts *simplelru.LRU[call.PartID, *entry]
-	news  []Holding
+	news  []CacheEntry
 	stamp []clock.Instant
 }
 
-func (d *Directory) table() *simplelru.LRU[call.PartID, *entry] {
+func (d *Index) table() *simplelru.LRU[call.PartID, *entry] {
 	if d.parts == nil {
 		// The size is a positive constant, the only thing that can be refused.
 		d.parts, _ = simplelru.NewLRU[call.PartID, *entry](maxParts, nil)
@@ -63,22 +63,22 @@
 	return d.parts
 }
 
-// Used notes that an upstream reads the shared parts of a prompt now.
-func (d *Directory) Used(now clock.Instant, parts []call.Part, upstream settings.UpstreamID) {
+// RecordUse notes that an upstream reads the shared parts of a prompt now.
+func (d *Index) RecordUse(now clock.Instant, parts []call.Part, upstream settings.UpstreamID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, p := range parts {
 		h := d.note(p.ID, upstream, now)
 		if h.told == 0 || now.Sub(h.told) >= renewTime {
 			h.told = now
-			d.news = append(d.news, Holding{Part: p.ID, Upstream: upstream})
+			d.news = append(d.news, CacheEntry{Block: p.ID, Upstream: upstream})
 			d.stamp = append(d.stamp, now)
 		}
 	}
 }
 
 // note sets the last use of a part at an upstream.
-func (d *Directory) note(part call.PartID, upstream settings.UpstreamID, used clock.Instant) *holder {
+func (d *Index) note(part call.PartID, upstream settings.UpstreamID, used clock.Instant) *holder {
 	table := d.table()
 	e, ok := table.Get(part)
 	if ok {
@@ -109,19 +109,19 @@
 	return oldest
 }
 
-// Learn takes in what another router told.
-func (d *Directory) Learn(now clock.Instant, news []Holding) {
+// Merge takes in what another router told.
+func (d *Index) Merge(now clock.Instant, news []CacheEntry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, n := range news {
-		h := d.note(n.Part, n.Upstream, now.Add(-n.Age))
+		h := d.note(n.Block, n.Upstream, now.Add(-n.Age))
 		// The other routers have heard it too.
 		h.told = max(h.told, now.Add(-n.Age))
 	}
 }
 
-// News returns and clears what other routers should hear.
-func (d *Directory) News(now clock.Instant) []Holding {
+// TakeUpdates returns and clears what other routers should hear.
+func (d *Index) TakeUpdates(now clock.Instant) []CacheEntry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	news := d.news
@@ -134,13 +134,13 @@
 
 // Recent returns holdings for a router that has just started, at most n and a few more: first those of parts that were
 // used more than once, since most last parts of prompts never come again, and in either kind the newest first.
-func (d *Directory) Recent(now clock.Instant, n int) []Holding {
+func (d *Index) Recent(now clock.Instant, n int) []CacheEntry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.recent(now, n, false, d.recent(now, n, true, nil))
 }
 
-func (d *Directory) recent(now clock.Instant, n int, again bool, list []Holding) []Holding {
+func (d *Index) recent(now clock.Instant, n int, again bool, list []CacheEntry) []CacheEntry {
 	keys := d.table().Keys()
 	for i := len(keys) - 1; i >= 0 && len(list) < n; i-- {
 		e, _ := d.table().Peek(keys[i])
@@ -149,15 +149,15 @@
 		}
 		for _, h := range e.holders {
 			if age := now.Sub(h.used); age < keepTime {
-				list = append(list, Holding{Part: keys[i], Upstream: h.upstream, Age: age})
+				list = append(list, CacheEntry{Block: keys[i], Upstream: h.upstream, Age: age})
 			}
 		}
 	}
 	return list
 }
 
-// Held returns, for each upstream in the order given, the tokens of the prompt that it need not read again.
-func (d *Directory) Held(now clock.Instant, parts []call.Part, upstreams []settings.UpstreamID) []settings.Tokens {
+// CachedTokens returns, for each upstream in the order given, the tokens of the prompt that it need not read again.
+func (d *Index) CachedTokens(now clock.Instant, parts []call.Part, upstreams []settings.UpstreamID) []settings.Tokens {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	held := make([]settings.Tokens, len(upstreams))
@@ -193,7 +193,7 @@
 }
 
 // Forget drops everything that an upstream held, after its end or restart.
-func (d *Directory) Forget(upstream settings.UpstreamID) {
+func (d *Index) Forget(upstream settings.UpstreamID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	table := d.table()
@@ -204,7 +204,7 @@
 }
 
 // Size returns the number of parts that are remembered.
-func (d *Directory) Size() int {
+func (d *Index) Size() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.table().Len()
--- a/core/affinity/directory_test.go
+++ b/core/affinity/directory_test.go
@@ -16,44 +16,44 @@
 
 func TestHeldCountsTheLeadingPartsOnly(t *testing.T) {
 	c := qt.New(t)
-	var d Directory
+	var d Index
 	parts := []call.Part{{ID: 1, Tokens: 500}, {ID: 2, Tokens: 10_000}, {ID: 3, Tokens: 40}}
-	d.Used(second, parts[:1], "a")
-	d.Used(second, parts[1:2], "b")
-	d.Used(second, parts[:2], "c")
-	held := d.Held(2*second, parts, []settings.UpstreamID{"a", "b", "c", "d"})
+	d.RecordUse(second, parts[:1], "a")
+	d.RecordUse(second, parts[1:2], "b")
+	d.RecordUse(second, parts[:2], "c")
+	held := d.CachedTokens(2*second, parts, []settings.UpstreamID{"a", "b", "c", "d"})
 	c.Assert(held, qt.DeepEquals, []settings.Tokens{500, 0, 10_500, 0})
 }
 
 func TestHoldingsAreToldOnceAndAgain(t *testing.T) {
 	c := qt.New(t)
-	var d Directory
+	var d Index
 	part := []call.Part{{ID: 7, Tokens: 100}}
-	d.Used(second, part, "a")
-	c.Assert(d.News(second), qt.HasLen, 1)
-	d.Used(2*second, part, "a")
-	c.Assert(d.News(2*second), qt.HasLen, 0)
-	d.Used(8*second, part, "a")
-	c.Assert(d.News(9*second), qt.DeepEquals, []Holding{{Part: 7, Upstream: "a", Age: time.Second}})
+	d.RecordUse(second, part, "a")
+	c.Assert(d.TakeUpdates(second), qt.HasLen, 1)
+	d.RecordUse(2*second, part, "a")
+	c.Assert(d.TakeUpdates(2*second), qt.HasLen, 0)
+	d.RecordUse(8*second, part, "a")
+	c.Assert(d.TakeUpdates(9*second), qt.DeepEquals, []CacheEntry{{Block: 7, Upstream: "a", Age: time.Second}})
 }
 
 func TestForgottenUpstreamHoldsNothing(t *testing.T) {
 	c := qt.New(t)
-	var d Directory
+	var d Index
 	part := []call.Part{{ID: 7, Tokens: 100}}
 	for _, id := range []settings.UpstreamID{"a", "b", "c"} {
-		d.Used(second, part, id)
+		d.RecordUse(second, part, id)
 	}
 	d.Forget("b")
 	d.Forget("b")
-	held := d.Held(second, part, []settings.UpstreamID{"a", "b", "c"})
+	held := d.CachedTokens(second, part, []settings.UpstreamID{"a", "b", "c"})
 	c.Assert(held, qt.DeepEquals, []settings.Tokens{100, 0, 100})
 }
 
 func TestForgetOnAnEmptyDirectory(t *testing.T) {
-	var d Directory
+	var d Index
 	d.Forget("a")
-	d.Learn(second, []Holding{{Part: 1, Upstream: "a", Age: 2 * time.Second}})
+	d.Merge(second, []CacheEntry{{Block: 1, Upstream: "a", Age: 2 * time.Second}})
 	d.Forget("a")
 }
 
@@ -61,16 +61,16 @@
 // beginning that all prompts share must not hide the longer parts behind it.
 func TestBeginningOfAllPromptsIsHeldEverywhere(t *testing.T) {
 	c := qt.New(t)
-	var d Directory
+	var d Index
 	common := call.Part{ID: 1, Tokens: 500}
 	last := settings.UpstreamID("")
 	for i := range 3 * maxHolders {
 		last = settings.UpstreamID(fmt.Sprintf("engine-%d", i))
-		d.Used(second, []call.Part{common, {ID: call.PartID(100 + i), Tokens: 10_000}}, last)
+		d.RecordUse(second, []call.Part{common, {ID: call.PartID(100 + i), Tokens: 10_000}}, last)
 	}
 	for i := range 3 * maxHolders {
 		id := settings.UpstreamID(fmt.Sprintf("engine-%d", i))
-		held := d.Held(second, []call.Part{common, {ID: call.PartID(100 + i), Tokens: 10_000}}, []settings.UpstreamID{id, "other"})
+		held := d.CachedTokens(second, []call.Part{common, {ID: call.PartID(100 + i), Tokens: 10_000}}, []settings.UpstreamID{id, "other"})
 		c.Assert(held, qt.DeepEquals, []settings.Tokens{10_500, 500})
 	}
 }
@@ -79,14 +79,14 @@
 // whose last parts never come again: what fits into one answer must be the parts that others share.
 func TestPartsThatAreUsedAgainAreToldFirst(t *testing.T) {
 	c := qt.New(t)
-	d := &Directory{}
+	d := &Index{}
 	shared := call.Part{ID: 1, Tokens: 1000}
 	for i := range 100 {
-		d.Used(second+clock.Instant(i), []call.Part{shared, {ID: call.PartID(100 + i), Tokens: 10}}, "engine-1")
+		d.RecordUse(second+clock.Instant(i), []call.Part{shared, {ID: call.PartID(100 + i), Tokens: 10}}, "engine-1")
 	}
-	d.Used(second+clock.Instant(100), []call.Part{{ID: 500, Tokens: 10}}, "engine-1")
+	d.RecordUse(second+clock.Instant(100), []call.Part{{ID: 500, Tokens: 10}}, "engine-1")
 	recent := d.Recent(second+clock.Instant(101), 2)
 	c.Assert(recent, qt.HasLen, 2)
-	c.Assert(recent[0].Part, qt.Equals, shared.ID)
-	c.Assert(recent[1].Part, qt.Equals, call.PartID(500))
+	c.Assert(recent[0].Block, qt.Equals, shared.ID)
+	c.Assert(recent[1].Block, qt.Equals, call.PartID(500))
 }
--- a/core/holder/holder.go
+++ b/core/holder/holder.go
@@ -12,17 +12,17 @@
 // holders is the last two sides that served a chat, the latest first.
 type holders [2]settings.UpstreamID
 
-// Directory is a bounded table of chats, the least recently used one out first; its zero value is ready.
-type Directory struct {
-	Entries int
-	lru     *simplelru.LRU[uint64, holders]
+// Table is a bounded table of chats, the least recently used one out first; its zero value is ready.
+type Table struct {
+	MaxEntries int
+	lru        *simplelru.LRU[uint64, holders]
 }
 
-func (d *Directory) table() *simplelru.LRU[uint64, holders] {
+func (d *Table) table() *simplelru.LRU[uint64, holders] {
 	if d.lru != nil {
 		return d.lru
 	}
-	entries := d.Entries
+	entries := d.MaxEntries
 	if entries <= 0 {
 		entries = DefaultEntries
 	}
@@ -31,8 +31,8 @@
 	return d.lru
 }
 
-// Served notes that a side has served a chat.
-func (d *Directory) Served(chat uint64, side settings.UpstreamID) {
+// RecordServed notes that a side has served a chat.
+func (d *Table) RecordServed(chat uint64, side settings.UpstreamID) {
 	h, _ := d.table().Get(chat)
 	if h[0] == side {
 		return
@@ -40,11 +40,11 @@
 	d.table().Add(chat, holders{side, h[0]})
 }
 
-// Holders returns up to two sides that may hold a chat's prefix, the latest first.
-func (d *Directory) Holders(chat uint64) (first, second settings.UpstreamID) {
+// Owners returns up to two sides that may hold a chat's prefix, the latest first.
+func (d *Table) Owners(chat uint64) (first, second settings.UpstreamID) {
 	h, _ := d.table().Get(chat)
 	return h[0], h[1]
 }
 
 // Len returns the number of chats remembered.
-func (d *Directory) Len() int { return d.table().Len() }
+func (d *Table) Len() int { return d.table().Len() }
--- a/core/inflight/ledger.go
+++ b/core/inflight/ledger.go
@@ -23,8 +23,8 @@
 	counts Counts
 }
 
-// Ledger holds this router's counts and those that other routers told; its zero value is empty.
-type Ledger struct {
+// Tracker holds this router's counts and those that other routers told; its zero value is empty.
+type Tracker struct {
 	mu      sync.Mutex
 	own     Counts
 	others  map[RouterID]report
@@ -33,7 +33,7 @@
 }
 
 // Begin counts a request that is about to be sent.
-func (l *Ledger) Begin(id settings.UpstreamID) {
+func (l *Tracker) Begin(id settings.UpstreamID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.own == nil {
@@ -43,7 +43,7 @@
 }
 
 // End takes a request off that has ended.
-func (l *Ledger) End(id settings.UpstreamID) {
+func (l *Tracker) End(id settings.UpstreamID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.own[id] <= 1 {
@@ -53,8 +53,8 @@
 	l.own[id]--
 }
 
-// Own returns a copy of this router's counts.
-func (l *Ledger) Own() Counts {
+// Local returns a copy of this router's counts.
+func (l *Tracker) Local() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	counts := make(Counts, len(l.own))
@@ -65,7 +65,7 @@
 }
 
 // Report takes in another router's counts.
-func (l *Ledger) Report(now clock.Instant, from RouterID, counts Counts) {
+func (l *Tracker) Report(now clock.Instant, from RouterID, counts Counts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.others == nil {
@@ -76,7 +76,7 @@
 }
 
 // refresh sums up the other routers' counts, without those that are too old.
-func (l *Ledger) refresh(now clock.Instant) {
+func (l *Tracker) refresh(now clock.Instant) {
 	if l.total != nil && now.Before(l.expires) {
 		return
 	}
@@ -96,7 +96,7 @@
 }
 
 // Loads returns the open requests of each upstream in the order given, over all routers.
-func (l *Ledger) Loads(now clock.Instant, ids []settings.UpstreamID) []int {
+func (l *Tracker) Loads(now clock.Instant, ids []settings.UpstreamID) []int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refresh(now)
@@ -107,8 +107,8 @@
 	return loads
 }
 
-// Routers returns the number of routers whose counts are believed, this one included.
-func (l *Ledger) Routers(now clock.Instant) int {
+// RouterCount returns the number of routers whose counts are believed, this one included.
+func (l *Tracker) RouterCount(now clock.Instant) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refresh(now)
--- a/core/inflight/ledger_test.go
+++ b/core/inflight/ledger_test.go
@@ -12,7 +12,7 @@
 
 func TestCountsOfAllRoutersAreSummed(t *testing.T) {
 	c := qt.New(t)
-	var l Ledger
+	var l Tracker
 	now := clock.Instant(time.Second)
 	ids := []settings.UpstreamID{"a", "b"}
 	l.Begin("a")
@@ -22,8 +22,8 @@
 	l.Report(now, "r2", Counts{"a": 2, "b": 1})
 	l.Report(now.Add(time.Second), "r3", Counts{"b": 4})
 	c.Assert(l.Loads(now.Add(time.Second), ids), qt.DeepEquals, []int{3, 5})
-	c.Assert(l.Routers(now.Add(time.Second)), qt.Equals, 3)
+	c.Assert(l.RouterCount(now.Add(time.Second)), qt.Equals, 3)
 	// The counts of a router that has fallen silent are dropped.
 	c.Assert(l.Loads(now.Add(2*time.Second), ids), qt.DeepEquals, []int{1, 4})
-	c.Assert(l.Routers(now.Add(2*time.Second)), qt.Equals, 2)
+	c.Assert(l.RouterCount(now.Add(2*time.Second)), qt.Equals, 2)
 }
--- a/core/internal/benchdecisions/ours.go
+++ b/core/internal/benchdecisions/ours.go
@@ -126,12 +126,12 @@
 			side.Release(&r.verdict)
 		}
 	}
-	o.sides[o.sim.index[home]].CacheOwners.Served(r.chat.id, e.id)
+	o.sides[o.sim.index[home]].CacheOwners.RecordServed(r.chat.id, e.id)
 }
 
 func (o *ours) warm(c *chat, e *engine) {
 	o.sides[e.index].Prefixes.RecordStored(c.id, settings.Tokens(c.context))
-	o.sides[e.index].CacheOwners.Served(c.id, e.id)
+	o.sides[e.index].CacheOwners.RecordServed(c.id, e.id)
 }
 
 func (o *ours) firstToken(r *request) {
--- a/core/internal/benchdecisions/sim.go
+++ b/core/internal/benchdecisions/sim.go
@@ -176,7 +176,7 @@
 func (s *sim) run() stats {
 	s.at(0, s.arrive)
 	s.every(sampleEvery, s.sample)
-	s.every(mean.Round.Seconds(), s.policy.round)
+	s.every(mean.ExchangeInterval.Seconds(), s.policy.round)
 	if s.is("churn", "churn_surge") {
 		s.every(churnEvery, func() { s.lose(noticeMax) })
 	}
--- a/core/mean/mean.go
+++ b/core/mean/mean.go
@@ -10,8 +10,8 @@
 
 // Times of the estimate.
 const (
-	// Round is the time between the exchanges that one side begins.
-	Round = 125 * time.Millisecond
+	// ExchangeInterval is the time between the exchanges that one side begins.
+	ExchangeInterval = 125 * time.Millisecond
 	// MaxAge is the age from which an estimate must not be used.
 	MaxAge = 3 * time.Second
 )
@@ -109,9 +109,9 @@
 	e.light = slices.DeleteFunc(e.light, func(entry lightEntry) bool { return entry.side == side })
 }
 
-// Lightest returns the side with the smallest load expected now, leaving some out. An old report of a small load
+// LeastLoaded returns the side with the smallest load expected now, leaving some out. An old report of a small load
 // counts less the older it is, since work flows to where it is light.
-func (e *Estimator) Lightest(now clock.Instant, skip ...settings.UpstreamID) (settings.UpstreamID, settings.Tokens, bool) {
+func (e *Estimator) LeastLoaded(now clock.Instant, skip ...settings.UpstreamID) (settings.UpstreamID, settings.Tokens, bool) {
 	e.expire(now)
 	var best settings.UpstreamID
 	var least settings.Tokens
--- a/core/mean/mean_test.go
+++ b/core/mean/mean_test.go
@@ -43,7 +43,7 @@
 		f.estimators[i].Merge(f.now, f.loads[i], b)
 		f.estimators[j].Merge(f.now, f.loads[j], a)
 	}
-	f.now = f.now.Add(Round)
+	f.now = f.now.Add(ExchangeInterval)
 }
 
 func (f *fleet) worstError() float64 {
@@ -100,7 +100,7 @@
 	woken := f.now.Add(30 * time.Second)
 	_, known = f.estimators[0].Mean(woken)
 	c.Assert(known, qt.IsFalse)
-	_, _, found := f.estimators[0].Lightest(woken)
+	_, _, found := f.estimators[0].LeastLoaded(woken)
 	c.Assert(found, qt.IsFalse)
 }
 
@@ -121,10 +121,10 @@
 	e := &Estimator{}
 	e.Merge(now, 1000, Sample{Side: "old", Load: 500, Mean: 1000, Known: true})
 	e.Merge(now.Add(1900*time.Millisecond), 1000, Sample{Side: "new", Load: 600, Mean: 1000, Known: true})
-	side, _, ok := e.Lightest(now.Add(1900 * time.Millisecond))
+	side, _, ok := e.LeastLoaded(now.Add(1900 * time.Millisecond))
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(side, qt.Equals, settings.UpstreamID("new"))
 	e.Sent("new", 900)
-	side, _, _ = e.Lightest(now.Add(1900 * time.Millisecond))
+	side, _, _ = e.LeastLoaded(now.Add(1900 * time.Millisecond))
 	c.Assert(side, qt.Equals, settings.UpstreamID("old"))
 }
--- a/router/internal/app/direct.go
+++ b/router/internal/app/direct.go
@@ -65,7 +65,7 @@
 
 	store       *revision.Store
 	members     *members.Book
-	affinity    *affinity.Directory
+	affinity    *affinity.Index
 	outliers    *outlier.Detector
 	silence     *silence.Detector
 	connections *upstream.Pool
@@ -89,7 +89,7 @@
 		metrics:  operator.NewMetrics("router"),
 		store:    &revision.Store{},
 		members:  &members.Book{},
-		affinity: &affinity.Directory{},
+		affinity: &affinity.Index{},
 		outliers: &outlier.Detector{},
 		silence:  &silence.Detector{},
 	}
@@ -114,7 +114,7 @@
 // connect makes the services and ties them to each other.
 func (d *Direct) connect(incarnation peer.Incarnation) {
 	scope := d.metrics.Scope
-	ledger := &inflight.Ledger{}
+	ledger := &inflight.Tracker{}
 	d.connections = &upstream.Pool{Dialect: platform.Dialect{}, OnDial: func(_ members.Instance, err error) {
 		scope.Tagged(map[string]string{"ok": yesNo(err == nil)}).Counter("upstream_connections").Inc(1)
 	}}
--- a/router/internal/direct/attempt.go
+++ b/router/internal/direct/attempt.go
@@ -47,7 +47,7 @@
 	}
 	x.res.Upstream = i.ID
 	if x.Terms.Affinity {
-		d.Affinity.Used(now, x.Parts, i.ID)
+		d.Affinity.RecordUse(now, x.Parts, i.ID)
 	}
 	d.Silence.Begin(d.Clock.Now(), i.ID)
 	defer d.Silence.End(i.ID)
--- a/router/internal/direct/dispatch.go
+++ b/router/internal/direct/dispatch.go
@@ -51,8 +51,8 @@
 type Dispatcher struct {
 	DataCentre  settings.DataCentre
 	Members     *members.Book
-	Ledger      *inflight.Ledger
-	Affinity    *affinity.Directory
+	Ledger      *inflight.Tracker
+	Affinity    *affinity.Index
 	Outliers    *outlier.Detector
 	Silence     *silence.Detector
 	Queues      *waiting.Queues
@@ -138,7 +138,7 @@
 // takeRepeat asks the fleet's budget for a repeat.
 func (x *exchange) takeRepeat(i members.Instance, ending attempt.Ending) bool {
 	now := x.d.Clock.Now()
-	routers := x.d.Ledger.Routers(now)
+	routers := x.d.Ledger.RouterCount(now)
 	ok := x.d.Budget.Take(now, x.Service, routers)
 	x.d.Log.Info("repeat", "request", x.ID, "upstream", i.ID, "ending", ending, "runs", x.res.Runs, "routers", routers, "allowed", ok)
 	return ok
--- a/router/internal/direct/dispatch_test.go
+++ b/router/internal/direct/dispatch_test.go
@@ -164,7 +164,7 @@
 	t.Helper()
 	c := qt.New(t)
 	b := &bench{Dispatcher: &Dispatcher{
-		DataCentre: "kano", Members: &members.Book{}, Ledger: &inflight.Ledger{}, Affinity: &affinity.Directory{},
+		DataCentre: "kano", Members: &members.Book{}, Ledger: &inflight.Tracker{}, Affinity: &affinity.Index{},
 		Outliers: &outlier.Detector{}, Silence: &silence.Detector{}, Queues: &waiting.Queues{},
 		Budget:      &retry.Window{Terms: retry.Terms{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}},
 		Connections: &upstream.Pool{Dialect: testDialect{}},
--- a/router/internal/direct/place.go
+++ b/router/internal/direct/place.go
@@ -93,7 +93,7 @@
 	var held []settings.Tokens
 	ranks := make([]int, len(ids))
 	if r.Terms.Affinity {
-		held = d.Affinity.Held(now, r.sharedParts(), ids)
+		held = d.Affinity.CachedTokens(now, r.sharedParts(), ids)
 		ranks = d.ranks(r, ids)
 	}
 	candidates := make([]placement.Candidate, len(serving))
--- a/router/internal/engines/inventory.go
+++ b/router/internal/engines/inventory.go
@@ -64,7 +64,7 @@
 	Members    *members.Book
 	// Services returns the services whose upstreams cache prompts, nil while they are not known.
 	Services func() []settings.ServiceName
-	Affinity *affinity.Directory
+	Affinity *affinity.Index
 	Clock    interface{ Now() clock.Instant }
 	Log      *log.Logger
 	Scope    tally.Scope
@@ -240,7 +240,7 @@
 	if err != nil {
 		v.Log.Warn("engine not in the inventory", "upstream", i.ID, "error", err)
 	} else {
-		v.Affinity.Used(now, parts, i.ID)
+		v.Affinity.RecordUse(now, parts, i.ID)
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/router/internal/engines/inventory_test.go
+++ b/router/internal/engines/inventory_test.go
@@ -53,7 +53,7 @@
 	}
 	book.Replace(1, 1, list)
 	return &Inventory{
-		Address: address, Named: []string{"a", "b", "c"}, Asker: asker, Routers: routers, Members: book, Affinity: &affinity.Directory{}, Clock: clock.Boot{},
+		Address: address, Named: []string{"a", "b", "c"}, Asker: asker, Routers: routers, Members: book, Affinity: &affinity.Index{}, Clock: clock.Boot{},
 		Services: func() []settings.ServiceName { return []settings.ServiceName{"letters"} },
 		Log:      log.New(io.Discard), Scope: tally.NoopScope,
 	}
--- a/router/internal/routers/news.go
+++ b/router/internal/routers/news.go
@@ -13,7 +13,7 @@
 // spreadHoldings queues what this router has learnt of cached prompts for every other router.
 func (s *Service) spreadHoldings() {
 	now := s.Clock.Now()
-	news := s.Affinity.News(now)
+	news := s.Affinity.TakeUpdates(now)
 	if len(news) == 0 {
 		return
 	}
@@ -32,7 +32,7 @@
 }
 
 // keep adds news to the backlog and drops what is too old; the caller holds the lock.
-func (s *Service) keep(now clock.Instant, news []affinity.Holding) {
+func (s *Service) keep(now clock.Instant, news []affinity.CacheEntry) {
 	for _, n := range news {
 		s.backlog = append(s.backlog, n)
 		s.stamps = append(s.stamps, now)
@@ -61,7 +61,7 @@
 func (s *Service) state(r *router, asking, allHoldings bool) *peer.RouterState {
 	now := s.Clock.Now()
 	state := &peer.RouterState{
-		Router: s.ID, Address: s.Address, Incarnation: s.Incarnation, Cores: s.Cores, Open: s.Ledger.Own(),
+		Router: s.ID, Address: s.Address, Incarnation: s.Incarnation, Cores: s.Cores, Open: s.Ledger.Local(),
 		Signs: s.Silence.Own(now), KnowsHoldings: s.KnowsHoldings(),
 	}
 	state.Inventoried = s.Inventoried()
@@ -102,7 +102,7 @@
 	if err != nil {
 		s.Log.Warn("cached prompts of a router refused", "router", m.Router, "error", err)
 	}
-	s.Affinity.Learn(now, holdings)
+	s.Affinity.Merge(now, holdings)
 	events := s.Members.Learn(now, m.Members)
 	if m.Listed && !s.Members.Known() {
 		s.Members.MarkKnown()
--- a/router/internal/routers/service.go
+++ b/router/internal/routers/service.go
@@ -62,7 +62,7 @@
 	incarnation peer.Incarnation
 	// greeted says that it has got everything once.
 	greeted  bool
-	holdings []affinity.Holding
+	holdings []affinity.CacheEntry
 	stamps   []clock.Instant
 	members  []members.Change
 	// met is the last exchange that succeeded, heard the last message of the other side.
@@ -89,9 +89,9 @@
 	Cores    float64
 	Seeds    []string
 	Dialer   Dialer
-	Ledger   *inflight.Ledger
+	Ledger   *inflight.Tracker
 	Silence  *silence.Detector
-	Affinity *affinity.Directory
+	Affinity *affinity.Index
 	Members  *members.Book
 	Clock    Clock
 	Log      *log.Logger
@@ -110,7 +110,7 @@
 	routers map[string]*router
 	wg      sync.WaitGroup
 	// backlog is the latest news of cached prompts from here, with the times of their use.
-	backlog []affinity.Holding
+	backlog []affinity.CacheEntry
 	stamps  []clock.Instant
 	// learnt says that a router that knows the cached prompts has told them all.
 	learnt bool
--- a/router/internal/routers/service_test.go
+++ b/router/internal/routers/service_test.go
@@ -27,8 +27,8 @@
 type node struct {
 	service  *Service
 	endpoint *peer.Endpoint
-	ledger   *inflight.Ledger
-	affinity *affinity.Directory
+	ledger   *inflight.Tracker
+	affinity *affinity.Index
 	members  *members.Book
 	stop     func()
 }
@@ -51,7 +51,7 @@
 		if seed == "" {
 			seed = address
 		}
-		one := &node{ledger: &inflight.Ledger{}, affinity: &affinity.Directory{}, members: &members.Book{}}
+		one := &node{ledger: &inflight.Tracker{}, affinity: &affinity.Index{}, members: &members.Book{}}
 		id := fmt.Sprintf("router-%d", i)
 		allow, err := peer.ParseNetworks([]string{"127.0.0.0/8"})
 		c.Assert(err, qt.IsNil)
@@ -132,20 +132,20 @@
 func TestCachedPromptsAndInstancesAreTold(t *testing.T) {
 	nodes := startNodes(t, 3)
 	parts := []call.Part{{ID: 9, Tokens: 1000}}
-	nodes[1].affinity.Used(clock.Boot{}.Now(), parts, "engine-1")
+	nodes[1].affinity.RecordUse(clock.Boot{}.Now(), parts, "engine-1")
 	change := members.Change{ID: "engine-1", Revision: 7, Instance: members.Instance{ID: "engine-1", Service: "letters"}}
 	nodes[1].members.Learn(clock.Boot{}.Now(), []members.Change{change})
 	nodes[1].service.Tell([]members.Change{change})
 	eventually(t, func() bool {
 		return !slices.ContainsFunc(nodes, func(n *node) bool {
-			held := n.affinity.Held(clock.Boot{}.Now(), parts, []settings.UpstreamID{"engine-1"})
+			held := n.affinity.CachedTokens(clock.Boot{}.Now(), parts, []settings.UpstreamID{"engine-1"})
 			return held[0] != 1000 || len(n.members.Serving("letters")) != 1
 		})
 	})
 }
 
 // told returns the holdings in a state.
-func told(c *qt.C, state *peer.RouterState) []affinity.Holding {
+func told(c *qt.C, state *peer.RouterState) []affinity.CacheEntry {
 	list, err := affinity.Unpack(state.Holdings)
 	c.Assert(err, qt.IsNil)
 	return list
@@ -157,15 +157,15 @@
 func TestOnlyARouterThatStartsIsToldAllPrompts(t *testing.T) {
 	c := qt.New(t)
 	s := &Service{
-		ID: "a", Address: "127.0.0.1:1", Ledger: &inflight.Ledger{}, Silence: &silence.Detector{}, Affinity: &affinity.Directory{}, Members: &members.Book{},
+		ID: "a", Address: "127.0.0.1:1", Ledger: &inflight.Tracker{}, Silence: &silence.Detector{}, Affinity: &affinity.Index{}, Members: &members.Book{},
 		Clock: clock.Boot{}, KnowsHoldings: func() bool { return true }, Directory: func() (time.Duration, bool) { return 0, false },
 		Inventoried: func() []settings.UpstreamID { return nil },
 	}
 	now := clock.Boot{}.Now()
 	for i := range 100 {
-		s.Affinity.Used(now, []call.Part{{ID: call.PartID(i), Tokens: 10}}, "engine-1")
+		s.Affinity.RecordUse(now, []call.Part{{ID: call.PartID(i), Tokens: 10}}, "engine-1")
 	}
-	s.Affinity.News(now)
+	s.Affinity.TakeUpdates(now)
 	s.mu.Lock()
 	r := s.add("127.0.0.1:2")
 	s.mu.Unlock()
@@ -179,11 +179,11 @@
 func TestRouterThatBecomesKnownLaterHearsTheLatestNews(t *testing.T) {
 	c := qt.New(t)
 	s := &Service{
-		ID: "a", Address: "127.0.0.1:1", Ledger: &inflight.Ledger{}, Silence: &silence.Detector{}, Affinity: &affinity.Directory{}, Members: &members.Book{},
+		ID: "a", Address: "127.0.0.1:1", Ledger: &inflight.Tracker{}, Silence: &silence.Detector{}, Affinity: &affinity.Index{}, Members: &members.Book{},
 		Clock: clock.Boot{}, KnowsHoldings: func() bool { return true }, Directory: func() (time.Duration, bool) { return 0, false },
 		Inventoried: func() []settings.UpstreamID { return nil },
 	}
-	s.Affinity.Used(clock.Boot{}.Now(), []call.Part{{ID: 9, Tokens: 10}}, "engine-1")
+	s.Affinity.RecordUse(clock.Boot{}.Now(), []call.Part{{ID: 9, Tokens: 10}}, "engine-1")
 	s.spreadHoldings()
 	s.mu.Lock()
 	r := s.add("127.0.0.1:2")
--- a/side/internal/router/run.go
+++ b/side/internal/router/run.go
@@ -109,7 +109,7 @@
 	}
 	d.admission.Prefixes.RecordStored(j.submit.Chat, usage.Prompt+usage.Answer)
 	if home, ok := d.set.Home(j.submit.Chat); ok && home == d.Self {
-		d.admission.CacheOwners.Served(j.submit.Chat, d.Self)
+		d.admission.CacheOwners.RecordServed(j.submit.Chat, d.Self)
 	}
 }
 
--- a/side/internal/router/serve.go
+++ b/side/internal/router/serve.go
@@ -54,5 +54,5 @@
 func (d *Door) placed(p *peer.Placed) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.admission.CacheOwners.Served(p.Chat, p.Side)
+	d.admission.CacheOwners.RecordServed(p.Chat, p.Side)
 }
--- a/side/internal/sides/service.go
+++ b/side/internal/sides/service.go
@@ -72,7 +72,7 @@
 		s.shedWhenWanted(ctx)
 	}()
 	shuffled := time.Now()
-	every(ctx, mean.Round, func() {
+	every(ctx, mean.ExchangeInterval, func() {
 		if time.Since(shuffled) > reshuffle {
 			s.others.Rotate()
 			shuffled = time.Now()
--- a/standin/internal/bench/capacity.go
+++ b/standin/internal/bench/capacity.go
@@ -319,10 +319,10 @@
 // tables measures the memory of a side's directory and keys.
 func tables(w *Writer) error {
 	for _, n := range tableCounts {
-		d := &holder.Directory{Entries: n}
+		d := &holder.Table{MaxEntries: n}
 		used := heapOf(func() {
 			for i := range n {
-				d.Served(uint64(i)*0x9e3779b97f4a7c15, settings.UpstreamID(fmt.Sprintf("letterhouse-%04d", i%1015)))
+				d.RecordServed(uint64(i)*0x9e3779b97f4a7c15, settings.UpstreamID(fmt.Sprintf("letterhouse-%04d", i%1015)))
 			}
 		})
 		runtime.KeepAlive(d)
