--- a/core/affinity/batch.go
+++ b/core/affinity/batch.go
@@ -65,7 +65,7 @@
 		}
 		for i, age := range b.Ages {
 			part := binary.BigEndian.Uint64(b.Parts[partBytes*i:])
-			list = append(list, CacheEntry{Block: call.PartID(part), Upstream: b.Upstream, Age: time.Duration(age) * ageUnit})
+			list = append(list, CacheEntry{Block: call.PromptBlockID(part), Upstream: b.Upstream, Age: time.Duration(age) * ageUnit})
 		}
 	}
 	return list, nil
--- a/core/affinity/directory.go
+++ b/core/affinity/directory.go
@@ -27,7 +27,7 @@
 
 // CacheEntry is one upstream that has read a part.
 type CacheEntry struct {
-	Block    call.PartID
+	Block    call.PromptBlockID
 	Upstream settings.UpstreamID
 	// Age is the time since the last use.
 	Age time.Duration
@@ -50,21 +50,21 @@
 // Index maps parts to their holders; its zero value is empty.
 type Index struct {
 	mu    sync.Mutex
-	parts *simplelru.LRU[call.PartID, *entry]
+	parts *simplelru.LRU[call.PromptBlockID, *entry]
 	news  []CacheEntry
 	stamp []clock.Instant
 }
 
-func (d *Index) table() *simplelru.LRU[call.PartID, *entry] {
+func (d *Index) table() *simplelru.LRU[call.PromptBlockID, *entry] {
 	if d.parts == nil {
 		// The size is a positive constant, the only thing that can be refused.
-		d.parts, _ = simplelru.NewLRU[call.PartID, *entry](maxParts, nil)
+		d.parts, _ = simplelru.NewLRU[call.PromptBlockID, *entry](maxParts, nil)
 	}
 	return d.parts
 }
 
 // RecordUse notes that an upstream reads the shared parts of a prompt now.
-func (d *Index) RecordUse(now clock.Instant, parts []call.Part, upstream settings.UpstreamID) {
+func (d *Index) RecordUse(now clock.Instant, parts []call.PromptBlock, upstream settings.UpstreamID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, p := range parts {
@@ -78,7 +78,7 @@
 }
 
 // note sets the last use of a part at an upstream.
-func (d *Index) note(part call.PartID, upstream settings.UpstreamID, used clock.Instant) *holder {
+func (d *Index) note(part call.PromptBlockID, upstream settings.UpstreamID, used clock.Instant) *holder {
 	table := d.table()
 	e, ok := table.Get(part)
 	if ok {
@@ -157,7 +157,7 @@
 }
 
 // CachedTokens returns, for each upstream in the order given, the tokens of the prompt that it need not read again.
-func (d *Index) CachedTokens(now clock.Instant, parts []call.Part, upstreams []settings.UpstreamID) []settings.Tokens {
+func (d *Index) CachedTokens(now clock.Instant, parts []call.PromptBlock, upstreams []settings.UpstreamID) []settings.Tokens {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	held := make([]settings.Tokens, len(upstreams))
--- a/core/affinity/directory_test.go
+++ b/core/affinity/directory_test.go
@@ -17,7 +17,7 @@
 func TestHeldCountsTheLeadingPartsOnly(t *testing.T) {
 	c := qt.New(t)
 	var d Index
-	parts := []call.Part{{ID: 1, Tokens: 500}, {ID: 2, Tokens: 10_000}, {ID: 3, Tokens: 40}}
+	parts := []call.PromptBlock{{ID: 1, Tokens: 500}, {ID: 2, Tokens: 10_000}, {ID: 3, Tokens: 40}}
 	d.RecordUse(second, parts[:1], "a")
 	d.RecordUse(second, parts[1:2], "b")
 	d.RecordUse(second, parts[:2], "c")
@@ -28,7 +28,7 @@
 func TestHoldingsAreToldOnceAndAgain(t *testing.T) {
 	c := qt.New(t)
 	var d Index
-	part := []call.Part{{ID: 7, Tokens: 100}}
+	part := []call.PromptBlock{{ID: 7, Tokens: 100}}
 	d.RecordUse(second, part, "a")
 	c.Assert(d.TakeUpdates(second), qt.HasLen, 1)
 	d.RecordUse(2*second, part, "a")
@@ -40,7 +40,7 @@
 func TestForgottenUpstreamHoldsNothing(t *testing.T) {
 	c := qt.New(t)
 	var d Index
-	part := []call.Part{{ID: 7, Tokens: 100}}
+	part := []call.PromptBlock{{ID: 7, Tokens: 100}}
 	for _, id := range []settings.UpstreamID{"a", "b", "c"} {
 		d.RecordUse(second, part, id)
 	}
@@ -62,15 +62,15 @@
 func TestBeginningOfAllPromptsIsHeldEverywhere(t *testing.T) {
 	c := qt.New(t)
 	var d Index
-	common := call.Part{ID: 1, Tokens: 500}
+	common := call.PromptBlock{ID: 1, Tokens: 500}
 	last := settings.UpstreamID("")
 	for i := range 3 * maxHolders {
 		last = settings.UpstreamID(fmt.Sprintf("engine-%d", i))
-		d.RecordUse(second, []call.Part{common, {ID: call.PartID(100 + i), Tokens: 10_000}}, last)
+		d.RecordUse(second, []call.PromptBlock{common, {ID: call.PromptBlockID(100 + i), Tokens: 10_000}}, last)
 	}
 	for i := range 3 * maxHolders {
 		id := settings.UpstreamID(fmt.Sprintf("engine-%d", i))
-		held := d.CachedTokens(second, []call.Part{common, {ID: call.PartID(100 + i), Tokens: 10_000}}, []settings.UpstreamID{id, "other"})
+		held := d.CachedTokens(second, []call.PromptBlock{common, {ID: call.PromptBlockID(100 + i), Tokens: 10_000}}, []settings.UpstreamID{id, "other"})
 		c.Assert(held, qt.DeepEquals, []settings.Tokens{10_500, 500})
 	}
 }
@@ -80,13 +80,13 @@
 func TestPartsThatAreUsedAgainAreToldFirst(t *testing.T) {
 	c := qt.New(t)
 	d := &Index{}
-	shared := call.Part{ID: 1, Tokens: 1000}
+	shared := call.PromptBlock{ID: 1, Tokens: 1000}
 	for i := range 100 {
-		d.RecordUse(second+clock.Instant(i), []call.Part{shared, {ID: call.PartID(100 + i), Tokens: 10}}, "engine-1")
+		d.RecordUse(second+clock.Instant(i), []call.PromptBlock{shared, {ID: call.PromptBlockID(100 + i), Tokens: 10}}, "engine-1")
 	}
-	d.RecordUse(second+clock.Instant(100), []call.Part{{ID: 500, Tokens: 10}}, "engine-1")
+	d.RecordUse(second+clock.Instant(100), []call.PromptBlock{{ID: 500, Tokens: 10}}, "engine-1")
 	recent := d.Recent(second+clock.Instant(101), 2)
 	c.Assert(recent, qt.HasLen, 2)
 	c.Assert(recent[0].Block, qt.Equals, shared.ID)
-	c.Assert(recent[1].Block, qt.Equals, call.PartID(500))
+	c.Assert(recent[1].Block, qt.Equals, call.PromptBlockID(500))
 }
--- a/core/attempt/next.go
+++ b/core/attempt/next.go
@@ -7,8 +7,8 @@
 
 // The endings of an attempt.
 const (
-	// Whole is an answer that reached the client whole.
-	Whole Ending = "whole"
+	// Complete is an answer that reached the client whole.
+	Complete Ending = "whole"
 	// NotSent is an upstream that was not reached or cannot have read the request.
 	NotSent Ending = "not_sent"
 	// Refused is an upstream's statement that it did not run the request.
@@ -28,12 +28,12 @@
 	Ending Ending
 	// Repeatable says that the request may run again after a run whose result is unknown.
 	Repeatable bool
-	// Runs is the number of upstreams that may have run the request, Attempts the largest number that may.
-	Runs, Attempts int
-	// Tries counts the attempts, those that cannot have run included.
-	Tries int
-	// Left is the time until the deadline.
-	Left time.Duration
+	// Runs is the number of upstreams that may have run the request, MaxRuns the largest number that may.
+	Runs, MaxRuns int
+	// Attempts counts the attempts, those that cannot have run included.
+	Attempts int
+	// Remaining is the time until the deadline.
+	Remaining time.Duration
 }
 
 // Step is what follows.
@@ -43,8 +43,8 @@
 const (
 	// Stop is the end of the request with what it has.
 	Stop Step = "stop"
-	// Again is another attempt, which counts as a repeat at the service.
-	Again Step = "again"
+	// Retry is another attempt, which counts as a repeat at the service.
+	Retry Step = "again"
 	// Reconnect is another attempt after one that no upstream has seen.
 	Reconnect Step = "reconnect"
 )
@@ -60,17 +60,17 @@
 // Next returns what follows an attempt. It answers runs of failures in which many requests fail at once: only requests
 // that may run again are repeated, and the caller asks the budget of the fleet for each repeat.
 func Next(s State) Step {
-	if s.Ending == Whole || s.Ending == ClientGone || s.Tries >= maxTries || s.Left < minLeft {
+	if s.Ending == Complete || s.Ending == ClientGone || s.Attempts >= maxTries || s.Remaining < minLeft {
 		return Stop
 	}
 	switch s.Ending {
 	case NotSent:
 		return Reconnect
 	case Refused:
-		return Again
+		return Retry
 	}
-	if s.Repeatable && s.Runs < s.Attempts {
-		return Again
+	if s.Repeatable && s.Runs < s.MaxRuns {
+		return Retry
 	}
 	return Stop
 }
--- a/core/attempt/next_test.go
+++ b/core/attempt/next_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestNext(t *testing.T) {
-	base := State{Runs: 1, Attempts: 2, Tries: 1, Left: time.Second}
+	base := State{Runs: 1, MaxRuns: 2, Attempts: 1, Remaining: time.Second}
 	with := func(change func(*State)) State {
 		s := base
 		change(&s)
@@ -19,18 +19,18 @@
 		state State
 		want  Step
 	}{
-		{"whole", with(func(s *State) { s.Ending, s.Repeatable = Whole, true }), Stop},
+		{"whole", with(func(s *State) { s.Ending, s.Repeatable = Complete, true }), Stop},
 		{"client gone", with(func(s *State) { s.Ending, s.Repeatable = ClientGone, true }), Stop},
 		{"not sent may go elsewhere", with(func(s *State) { s.Ending, s.Runs = NotSent, 0 }), Reconnect},
-		{"refused may go elsewhere", with(func(s *State) { s.Ending, s.Runs, s.Attempts = Refused, 0, 1 }), Again},
+		{"refused may go elsewhere", with(func(s *State) { s.Ending, s.Runs, s.MaxRuns = Refused, 0, 1 }), Retry},
 		{"lost and not repeatable", with(func(s *State) { s.Ending = Lost }), Stop},
 		{"failed and not repeatable", with(func(s *State) { s.Ending = Failed }), Stop},
 		{"cut and not repeatable", with(func(s *State) { s.Ending = Cut }), Stop},
-		{"lost and repeatable", with(func(s *State) { s.Ending, s.Repeatable = Lost, true }), Again},
-		{"cut and resumable", with(func(s *State) { s.Ending, s.Repeatable = Cut, true }), Again},
+		{"lost and repeatable", with(func(s *State) { s.Ending, s.Repeatable = Lost, true }), Retry},
+		{"cut and resumable", with(func(s *State) { s.Ending, s.Repeatable = Cut, true }), Retry},
 		{"attempts used up", with(func(s *State) { s.Ending, s.Repeatable, s.Runs = Lost, true, 2 }), Stop},
-		{"no time left", with(func(s *State) { s.Ending, s.Repeatable, s.Left = Lost, true, time.Millisecond }), Stop},
-		{"refused for ever", with(func(s *State) { s.Ending, s.Tries = Refused, maxTries }), Stop},
+		{"no time left", with(func(s *State) { s.Ending, s.Repeatable, s.Remaining = Lost, true, time.Millisecond }), Stop},
+		{"refused for ever", with(func(s *State) { s.Ending, s.Attempts = Refused, maxTries }), Stop},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/core/call/call.go
+++ b/core/call/call.go
@@ -10,27 +10,27 @@
 // ID identifies one request of a client through all its attempts.
 type ID string
 
-// PartID identifies a part of a prompt; requests with the same part share its tokens.
-type PartID uint64
+// PromptBlockID identifies a part of a prompt; requests with the same part share its tokens.
+type PromptBlockID uint64
 
 // String returns the id in hexadecimal.
-func (p PartID) String() string { return strconv.FormatUint(uint64(p), 16) }
+func (p PromptBlockID) String() string { return strconv.FormatUint(uint64(p), 16) }
 
-// Part is one part of a prompt, in order from its start.
-type Part struct {
-	ID     PartID
+// PromptBlock is one part of a prompt, in order from its start.
+type PromptBlock struct {
+	ID     PromptBlockID
 	Tokens settings.Tokens
 }
 
 // Request is what a client says of its request.
 type Request struct {
 	ID ID
-	// Left is how long the client waits, 0 where it does not say.
-	Left time.Duration
-	// Key is the client's API key, empty for none.
-	Key string
-	// Parts are the parts of the prompt, of which the last belongs to the request or its session.
-	Parts []Part
+	// Timeout is how long the client waits, 0 where it does not say.
+	Timeout time.Duration
+	// APIKey is the client's API key, empty for none.
+	APIKey string
+	// PromptBlocks are the parts of the prompt, of which the last belongs to the request or its session.
+	PromptBlocks []PromptBlock
 	// PromptTokens and MaxTokens are the sizes of the prompt and, at most, of the answer.
 	PromptTokens settings.Tokens
 	MaxTokens    settings.Tokens
@@ -41,29 +41,29 @@
 // EventID is the id of an event of a stream.
 type EventID string
 
-// Shared returns the tokens of the parts that other requests may share.
-func (r *Request) Shared() settings.Tokens {
+// SharedTokens returns the tokens of the parts that other requests may share.
+func (r *Request) SharedTokens() settings.Tokens {
 	var sum settings.Tokens
-	for i := 0; i+1 < len(r.Parts); i++ {
-		sum += r.Parts[i].Tokens
+	for i := 0; i+1 < len(r.PromptBlocks); i++ {
+		sum += r.PromptBlocks[i].Tokens
 	}
 	return sum
 }
 
-// SharedID returns the id of the last part that other requests may share, 0 for none.
-func (r *Request) SharedID() PartID {
-	if len(r.Parts) < 2 {
+// SharedBlockID returns the id of the last part that other requests may share, 0 for none.
+func (r *Request) SharedBlockID() PromptBlockID {
+	if len(r.PromptBlocks) < 2 {
 		return 0
 	}
-	return r.Parts[len(r.Parts)-2].ID
+	return r.PromptBlocks[len(r.PromptBlocks)-2].ID
 }
 
 // Attempt is what an upstream is told of one attempt.
 type Attempt struct {
 	// Upstream is the instance that is meant; another one at its address must refuse.
 	Upstream settings.UpstreamID
-	// Left is how long the upstream may work.
-	Left time.Duration
+	// Timeout is how long the upstream may work.
+	Timeout time.Duration
 	// Team owns the client's key, empty on public routes.
 	Team settings.TeamID
 	// LastEvent is the event after which a stream goes on, empty for a whole answer.
--- a/core/outcome/homes.go
+++ b/core/outcome/homes.go
@@ -16,8 +16,8 @@
 
 // The answers of Homes.Vouch.
 const (
-	// VouchYes means that no earlier run of the key can have been started.
-	VouchYes Vouch = iota
+	// Confirmed means that no earlier run of the key can have been started.
+	Confirmed Vouch = iota
 	// VouchNotHome means that another side is the key's home.
 	VouchNotHome
 	// VouchUnsure means that an earlier run cannot be ruled out yet.
@@ -60,10 +60,10 @@
 	Destroyed []settings.UpstreamID
 	// Exact says that no version lies between this one and the one before it here.
 	Exact bool
-	// Touched lists the upstreams whose declarations changed on the way, where Exact is false.
-	Touched []settings.UpstreamID
-	// Blind says that an upstream of an unknown service came and went on the way.
-	Blind bool
+	// Affected lists the upstreams whose declarations changed on the way, where Exact is false.
+	Affected []settings.UpstreamID
+	// UnknownService says that an upstream of an unknown service came and went on the way.
+	UnknownService bool
 }
 
 // word is another side's statement that it has given up the keys that a revision gave to others.
@@ -78,9 +78,9 @@
 	at      clock.Instant
 }
 
-// Homes decides which keys of one service a side is home of and can vouch for. The home of a key follows from
+// Primaries decides which keys of one service a side is home of and can vouch for. The home of a key follows from
 // the declared upstreams alone, never from the list of live VMs.
-type Homes struct {
+type Primaries struct {
 	Self     settings.UpstreamID
 	Lifetime time.Duration
 	// Started is when this incarnation began; earlier runs of its predecessor are unknown to it.
@@ -102,12 +102,12 @@
 func HashKey(key string) uint64 { return xxhash.Sum64String(key) }
 
 // Reclaim notes that the records of the predecessor, which could vouch for its keys, have been taken over whole.
-func (h *Homes) Reclaim() { h.reclaimed = true }
+func (h *Primaries) Reclaim() { h.reclaimed = true }
 
-// Change puts a new set of declared upstreams in force.
-func (h *Homes) Change(now clock.Instant, c Change) {
+// Apply puts a new set of declared upstreams in force.
+func (h *Primaries) Apply(now clock.Instant, c Change) {
 	h.noteDestroyed(now, c.Destroyed)
-	if c.Blind {
+	if c.UnknownService {
 		h.unsureUntil = now.Add(h.Lifetime)
 	}
 	if h.set == nil {
@@ -122,13 +122,13 @@
 }
 
 // ended returns the epoch that a change closes, if the set can have changed.
-func (h *Homes) ended(c Change) (epoch, bool) {
+func (h *Primaries) ended(c Change) (epoch, bool) {
 	e := epoch{set: h.set, ended: c.Revision}
 	if c.Exact {
 		return e, !slices.Equal(h.set.IDs(), c.Set.IDs())
 	}
-	e.everyone = union(h.set.IDs(), c.Set.IDs(), c.Touched)
-	return e, len(c.Touched) > 0 || !slices.Equal(h.set.IDs(), c.Set.IDs())
+	e.everyone = union(h.set.IDs(), c.Set.IDs(), c.Affected)
+	return e, len(c.Affected) > 0 || !slices.Equal(h.set.IDs(), c.Set.IDs())
 }
 
 func union(lists ...[]settings.UpstreamID) []settings.UpstreamID {
@@ -137,7 +137,7 @@
 	return slices.Compact(all)
 }
 
-func (h *Homes) noteDestroyed(now clock.Instant, ids []settings.UpstreamID) {
+func (h *Primaries) noteDestroyed(now clock.Instant, ids []settings.UpstreamID) {
 	for _, id := range ids {
 		if _, known := h.destroyed[id]; known {
 			continue
@@ -150,7 +150,7 @@
 }
 
 // prune forgets epochs whose former homes have all let go for a key's lifetime.
-func (h *Homes) prune(now clock.Instant) {
+func (h *Primaries) prune(now clock.Instant) {
 	kept := h.past[:0]
 	for _, e := range h.past {
 		if !h.over(now, e) {
@@ -167,7 +167,7 @@
 }
 
 // forgetWords drops the words about epochs that are over.
-func (h *Homes) forgetWords() {
+func (h *Primaries) forgetWords() {
 	for key := range h.releases {
 		if !slices.ContainsFunc(h.past, func(e epoch) bool { return e.ended == key.ended }) {
 			delete(h.releases, key)
@@ -175,7 +175,7 @@
 	}
 }
 
-func (h *Homes) over(now clock.Instant, e epoch) bool {
+func (h *Primaries) over(now clock.Instant, e epoch) bool {
 	for _, id := range e.all() {
 		if id != h.Self && !h.lapsed(now, id, e.ended) {
 			return false
@@ -185,7 +185,7 @@
 }
 
 // lapsed reports whether every key that a former home may have run has outlived its lifetime.
-func (h *Homes) lapsed(now clock.Instant, id settings.UpstreamID, ended settings.Revision) bool {
+func (h *Primaries) lapsed(now clock.Instant, id settings.UpstreamID, ended settings.Revision) bool {
 	if r, ok := h.releases[word{from: id, ended: ended}]; ok {
 		return now.Sub(r.at) >= h.Lifetime
 	}
@@ -193,9 +193,9 @@
 	return gone && now.Sub(at) >= h.Lifetime
 }
 
-// Released notes another side's word: it runs none of the keys that the revision ended gave to others. Current is the
+// AddReleaseAck notes another side's word: it runs none of the keys that the revision ended gave to others. Current is the
 // revision in force there, and covered says whether it could vouch for those keys.
-func (h *Homes) Released(now clock.Instant, from settings.UpstreamID, ended, current settings.Revision, covered bool) {
+func (h *Primaries) AddReleaseAck(now clock.Instant, from settings.UpstreamID, ended, current settings.Revision, covered bool) {
 	h.newest = max(h.newest, current)
 	key := word{from: from, ended: ended}
 	if have, ok := h.releases[key]; ok && (have.covered || !covered) {
@@ -208,13 +208,13 @@
 }
 
 // Covered reports whether this side can vouch for every key that is or was its own.
-func (h *Homes) Covered(now clock.Instant) bool {
+func (h *Primaries) Covered(now clock.Instant) bool {
 	return h.CoveredBefore(now, h.revision+1)
 }
 
 // CoveredBefore reports whether this side could vouch for its keys until a revision ended their epoch. Only earlier
 // epochs count, so that sides which wait for each other's word about one revision do not wait for ever.
-func (h *Homes) CoveredBefore(now clock.Instant, ended settings.Revision) bool {
+func (h *Primaries) CoveredBefore(now clock.Instant, ended settings.Revision) bool {
 	if !h.remembers(now) {
 		return false
 	}
@@ -227,14 +227,14 @@
 }
 
 // remembers reports whether this process knows every run since the longest-lived key began.
-func (h *Homes) remembers(now clock.Instant) bool {
+func (h *Primaries) remembers(now clock.Instant) bool {
 	if !h.reclaimed && now.Sub(h.Started) < h.Lifetime {
 		return false
 	}
 	return !now.Before(h.unsureUntil)
 }
 
-func (h *Homes) allSettled(now clock.Instant, ids []settings.UpstreamID, ended settings.Revision) bool {
+func (h *Primaries) allSettled(now clock.Instant, ids []settings.UpstreamID, ended settings.Revision) bool {
 	for _, id := range ids {
 		if id != h.Self && !h.settled(now, id, ended) {
 			return false
@@ -249,8 +249,8 @@
 	Ended settings.Revision
 }
 
-// Waiting returns the words that are still missing.
-func (h *Homes) Waiting(now clock.Instant) []Word {
+// MissingAcks returns the words that are still missing.
+func (h *Primaries) MissingAcks(now clock.Instant) []Word {
 	var words []Word
 	for _, e := range h.past {
 		for _, id := range e.all() {
@@ -263,30 +263,30 @@
 }
 
 // heard reports whether a former home has let go, whether or not it could vouch.
-func (h *Homes) heard(now clock.Instant, id settings.UpstreamID, ended settings.Revision) bool {
+func (h *Primaries) heard(now clock.Instant, id settings.UpstreamID, ended settings.Revision) bool {
 	_, ok := h.releases[word{from: id, ended: ended}]
 	return ok || h.lapsed(now, id, ended)
 }
 
 // settled reports whether a former home has let go and its records are here or have lapsed.
-func (h *Homes) settled(now clock.Instant, id settings.UpstreamID, ended settings.Revision) bool {
+func (h *Primaries) settled(now clock.Instant, id settings.UpstreamID, ended settings.Revision) bool {
 	if h.releases[word{from: id, ended: ended}].covered {
 		return true
 	}
 	return h.lapsed(now, id, ended)
 }
 
-// Home returns the home of a key.
-func (h *Homes) Home(key string) (settings.UpstreamID, bool) {
+// Primary returns the home of a key.
+func (h *Primaries) Primary(key string) (settings.UpstreamID, bool) {
 	if h.set == nil {
 		return "", false
 	}
 	return h.set.Home(HashKey(key))
 }
 
-// Vouch says whether this side may run a key that it has no record of.
-func (h *Homes) Vouch(now clock.Instant, key string) Vouch {
-	home, ok := h.Home(key)
+// Confirm says whether this side may run a key that it has no record of.
+func (h *Primaries) Confirm(now clock.Instant, key string) Vouch {
+	home, ok := h.Primary(key)
 	if !ok || home != h.Self {
 		return VouchNotHome
 	}
@@ -299,11 +299,11 @@
 			return VouchUnsure
 		}
 	}
-	return VouchYes
+	return Confirmed
 }
 
-// UnsureFor returns how long it may take until this side can vouch for all its keys.
-func (h *Homes) UnsureFor(now clock.Instant) time.Duration {
+// TimeToConfirm returns how long it may take until this side can vouch for all its keys.
+func (h *Primaries) TimeToConfirm(now clock.Instant) time.Duration {
 	if h.reclaimed {
 		return time.Second
 	}
@@ -311,4 +311,4 @@
 }
 
 // Revision returns the revision of the set in force.
-func (h *Homes) Revision() settings.Revision { return h.revision }
+func (h *Primaries) Revision() settings.Revision { return h.revision }
--- a/core/outcome/homes_test.go
+++ b/core/outcome/homes_test.go
@@ -31,10 +31,10 @@
 }
 
 // begin puts the first set in force and lets every other side speak up.
-func begin(h *Homes, first *rank.Set) {
-	h.Change(at(-time.Second), Change{Revision: 1, Set: first})
+func begin(h *Primaries, first *rank.Set) {
+	h.Apply(at(-time.Second), Change{Revision: 1, Set: first})
 	for _, id := range first.IDs() {
-		h.Released(at(-time.Second), id, 1, 1, true)
+		h.AddReleaseAck(at(-time.Second), id, 1, 1, true)
 	}
 }
 
@@ -42,28 +42,28 @@
 	c := qt.New(t)
 	three := set("a", "b", "c")
 	kept := keyOf(three, three, "b", "b")
-	h := &Homes{Self: "b", Lifetime: lifetime, Started: at(-lifetime)}
+	h := &Primaries{Self: "b", Lifetime: lifetime, Started: at(-lifetime)}
 	begin(h, three)
-	c.Assert(h.Vouch(at(0), kept), qt.Equals, VouchYes)
+	c.Assert(h.Confirm(at(0), kept), qt.Equals, Confirmed)
 	// Between revisions 1 and 5 another upstream came and went, and may have been home of any key.
-	h.Change(at(0), Change{Revision: 5, Set: three, Touched: []settings.UpstreamID{"d"}})
-	c.Assert(h.Vouch(at(0), kept), qt.Equals, VouchUnsure)
-	c.Assert(h.Waiting(at(0)), qt.DeepEquals, []Word{{"a", 5}, {"c", 5}, {"d", 5}})
+	h.Apply(at(0), Change{Revision: 5, Set: three, Affected: []settings.UpstreamID{"d"}})
+	c.Assert(h.Confirm(at(0), kept), qt.Equals, VouchUnsure)
+	c.Assert(h.MissingAcks(at(0)), qt.DeepEquals, []Word{{"a", 5}, {"c", 5}, {"d", 5}})
 	for _, id := range []settings.UpstreamID{"a", "c", "d"} {
-		h.Released(at(0), id, 5, 5, true)
+		h.AddReleaseAck(at(0), id, 5, 5, true)
 	}
-	c.Assert(h.Vouch(at(0), kept), qt.Equals, VouchYes)
+	c.Assert(h.Confirm(at(0), kept), qt.Equals, Confirmed)
 }
 
 func TestNewSideHearsEveryOtherSideFirst(t *testing.T) {
 	c := qt.New(t)
 	two := set("a", "b")
 	kept := keyOf(two, two, "b", "b")
-	h := &Homes{Self: "b", Lifetime: lifetime, Started: at(-lifetime)}
-	h.Change(at(0), Change{Revision: 1, Set: two})
-	c.Assert(h.Vouch(at(0), kept), qt.Equals, VouchUnsure)
-	h.Released(at(0), "a", 1, 1, true)
-	c.Assert(h.Vouch(at(0), kept), qt.Equals, VouchYes)
+	h := &Primaries{Self: "b", Lifetime: lifetime, Started: at(-lifetime)}
+	h.Apply(at(0), Change{Revision: 1, Set: two})
+	c.Assert(h.Confirm(at(0), kept), qt.Equals, VouchUnsure)
+	h.AddReleaseAck(at(0), "a", 1, 1, true)
+	c.Assert(h.Confirm(at(0), kept), qt.Equals, Confirmed)
 }
 
 func TestVouchRulesOutEveryEarlierRun(t *testing.T) {
@@ -71,34 +71,34 @@
 	moved, kept := keyOf(three, two, "a", "b"), keyOf(three, two, "b", "b")
 	tests := map[string]struct {
 		started clock.Instant
-		setup   func(h *Homes)
+		setup   func(h *Primaries)
 		key     string
 		want    Vouch
 	}{
 		"young side":                              {at(0), nil, kept, VouchUnsure},
-		"old side, own key":                       {at(-lifetime), nil, kept, VouchYes},
+		"old side, own key":                       {at(-lifetime), nil, kept, Confirmed},
 		"key moved, no word yet":                  {at(-lifetime), nil, moved, VouchUnsure},
-		"key moved and released":                  {at(-lifetime), func(h *Homes) { h.Released(at(0), "a", 2, 2, true) }, moved, VouchYes},
-		"released by a side that could not vouch": {at(-lifetime), func(h *Homes) { h.Released(at(0), "a", 2, 2, false) }, moved, VouchUnsure},
-		"released at an older revision":           {at(-lifetime), func(h *Homes) { h.Released(at(0), "a", 1, 1, true) }, moved, VouchUnsure},
-		"released unvouched a lifetime ago":       {at(-2 * lifetime), func(h *Homes) { h.Released(at(-lifetime), "a", 2, 2, false) }, moved, VouchYes},
-		"old home destroyed just now": {at(-lifetime), func(h *Homes) {
-			h.Change(at(0), Change{Revision: 3, Set: two, Destroyed: []settings.UpstreamID{"a"}, Exact: true})
+		"key moved and released":                  {at(-lifetime), func(h *Primaries) { h.AddReleaseAck(at(0), "a", 2, 2, true) }, moved, Confirmed},
+		"released by a side that could not vouch": {at(-lifetime), func(h *Primaries) { h.AddReleaseAck(at(0), "a", 2, 2, false) }, moved, VouchUnsure},
+		"released at an older revision":           {at(-lifetime), func(h *Primaries) { h.AddReleaseAck(at(0), "a", 1, 1, true) }, moved, VouchUnsure},
+		"released unvouched a lifetime ago":       {at(-2 * lifetime), func(h *Primaries) { h.AddReleaseAck(at(-lifetime), "a", 2, 2, false) }, moved, Confirmed},
+		"old home destroyed just now": {at(-lifetime), func(h *Primaries) {
+			h.Apply(at(0), Change{Revision: 3, Set: two, Destroyed: []settings.UpstreamID{"a"}, Exact: true})
 		}, moved, VouchUnsure},
-		"old home destroyed a lifetime ago": {at(-2 * lifetime), func(h *Homes) { h.noteDestroyed(at(-lifetime), []settings.UpstreamID{"a"}) }, moved, VouchYes},
-		"young side that reclaimed its own": {at(0), func(h *Homes) { h.Reclaim() }, kept, VouchYes},
-		"another side has a newer version":  {at(-lifetime), func(h *Homes) { h.Released(at(0), "a", 2, 3, true) }, moved, VouchUnsure},
+		"old home destroyed a lifetime ago": {at(-2 * lifetime), func(h *Primaries) { h.noteDestroyed(at(-lifetime), []settings.UpstreamID{"a"}) }, moved, Confirmed},
+		"young side that reclaimed its own": {at(0), func(h *Primaries) { h.Reclaim() }, kept, Confirmed},
+		"another side has a newer version":  {at(-lifetime), func(h *Primaries) { h.AddReleaseAck(at(0), "a", 2, 3, true) }, moved, VouchUnsure},
 		"key of another home":               {at(-lifetime), nil, keyOf(three, two, "c", "c"), VouchNotHome},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			h := &Homes{Self: "b", Lifetime: lifetime, Started: test.started}
+			h := &Primaries{Self: "b", Lifetime: lifetime, Started: test.started}
 			begin(h, three)
-			h.Change(at(0), Change{Revision: 2, Set: two, Exact: true})
+			h.Apply(at(0), Change{Revision: 2, Set: two, Exact: true})
 			if test.setup != nil {
 				test.setup(h)
 			}
-			qt.Assert(t, h.Vouch(at(0), test.key), qt.Equals, test.want)
+			qt.Assert(t, h.Confirm(at(0), test.key), qt.Equals, test.want)
 		})
 	}
 }
@@ -106,28 +106,28 @@
 func TestSidesThatWaitForEachOtherVouchInTheEnd(t *testing.T) {
 	c := qt.New(t)
 	three, two := set("a", "b", "c"), set("b", "c")
-	b := &Homes{Self: "b", Lifetime: lifetime, Started: at(-lifetime)}
-	other := &Homes{Self: "c", Lifetime: lifetime, Started: at(-lifetime)}
-	for _, h := range []*Homes{b, other} {
+	b := &Primaries{Self: "b", Lifetime: lifetime, Started: at(-lifetime)}
+	other := &Primaries{Self: "c", Lifetime: lifetime, Started: at(-lifetime)}
+	for _, h := range []*Primaries{b, other} {
 		begin(h, three)
-		h.Change(at(0), Change{Revision: 2, Set: two, Exact: true})
+		h.Apply(at(0), Change{Revision: 2, Set: two, Exact: true})
 	}
-	b.Released(at(0), "a", 2, 2, true)
-	other.Released(at(0), "a", 2, 2, true)
+	b.AddReleaseAck(at(0), "a", 2, 2, true)
+	other.AddReleaseAck(at(0), "a", 2, 2, true)
 	c.Assert(b.CoveredBefore(at(0), 2), qt.IsTrue)
-	b.Released(at(0), "c", 2, 2, other.CoveredBefore(at(0), 2))
+	b.AddReleaseAck(at(0), "c", 2, 2, other.CoveredBefore(at(0), 2))
 	c.Assert(b.Covered(at(0)), qt.IsTrue)
 }
 
 func TestManyChangesLeaveTheSideUnsure(t *testing.T) {
 	c := qt.New(t)
-	h := &Homes{Self: "b", Lifetime: lifetime, Started: at(-lifetime)}
+	h := &Primaries{Self: "b", Lifetime: lifetime, Started: at(-lifetime)}
 	begin(h, set("b"))
 	for i := range maxEpochs + 3 {
-		h.Change(at(0), Change{Revision: settings.Revision(i + 2), Set: set("b", settings.UpstreamID(fmt.Sprint("x", i))), Exact: true})
+		h.Apply(at(0), Change{Revision: settings.Revision(i + 2), Set: set("b", settings.UpstreamID(fmt.Sprint("x", i))), Exact: true})
 	}
-	h.Change(at(0), Change{Revision: 100, Set: set("b"), Exact: true})
-	c.Assert(h.Vouch(at(0), "k"), qt.Equals, VouchUnsure)
+	h.Apply(at(0), Change{Revision: 100, Set: set("b"), Exact: true})
+	c.Assert(h.Confirm(at(0), "k"), qt.Equals, VouchUnsure)
 	c.Assert(h.Covered(at(0)), qt.IsFalse)
 }
 
--- a/core/outcome/keys.go
+++ b/core/outcome/keys.go
@@ -83,8 +83,8 @@
 	return r, StepRun
 }
 
-// Look returns the record of a key and what a submission with this body would do.
-func (k *Keys) Look(key string, body uint64) (*Record, Step) {
+// Lookup returns the record of a key and what a submission with this body would do.
+func (k *Keys) Lookup(key string, body uint64) (*Record, Step) {
 	if r := k.records[key]; r != nil {
 		return r, stepFor(r, body)
 	}
@@ -108,7 +108,7 @@
 func (k *Keys) Finish(now clock.Instant, r *Record, a Answer, lifetime time.Duration) {
 	if len(a.Body) > MaxAnswerBytes {
 		// The call must still not run again, but its answer is too long to keep.
-		k.Lose(now, r, lifetime)
+		k.MarkLost(now, r, lifetime)
 		return
 	}
 	r.Answer = a
@@ -116,8 +116,8 @@
 	k.end(now, r, StateDone, lifetime)
 }
 
-// Lose records that the result of a run is not known.
-func (k *Keys) Lose(now clock.Instant, r *Record, lifetime time.Duration) {
+// MarkLost records that the result of a run is not known.
+func (k *Keys) MarkLost(now clock.Instant, r *Record, lifetime time.Duration) {
 	k.end(now, r, StateLost, lifetime)
 }
 
@@ -134,8 +134,8 @@
 	close(r.done)
 }
 
-// Adopt takes in a record from another side; a record that is here already wins unless the new one knows a result.
-func (k *Keys) Adopt(now clock.Instant, in peer.KeyRecord) {
+// Import takes in a record from another side; a record that is here already wins unless the new one knows a result.
+func (k *Keys) Import(now clock.Instant, in peer.KeyRecord) {
 	have := k.records[in.Key]
 	state := State(in.State)
 	if state == StateRunning {
--- a/core/ticket/ticket.go
+++ b/core/ticket/ticket.go
@@ -91,8 +91,8 @@
 	return h.Sum(nil)
 }
 
-// Read returns what a ticket says, unchecked, so that a router can send it to the side that issued it.
-func Read(text string) (Claims, error) {
+// ParseUnverified returns what a ticket says, unchecked, so that a router can send it to the side that issued it.
+func ParseUnverified(text string) (Claims, error) {
 	claims, _, _, err := parse(text)
 	return claims, err
 }
--- a/core/ticket/ticket_test.go
+++ b/core/ticket/ticket_test.go
@@ -19,7 +19,7 @@
 	c.Assert(err, qt.IsNil)
 	text, err := first.Issue(now)
 	c.Assert(err, qt.IsNil)
-	claims, err := Read(text)
+	claims, err := ParseUnverified(text)
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(claims.Upstream), qt.Equals, "desk-1")
 
@@ -35,7 +35,7 @@
 	f.Add("a.b")
 	f.Add("lKZkZXNrLTE.AAAA")
 	f.Fuzz(func(t *testing.T, text string) {
-		_, err := Read(text)
+		_, err := ParseUnverified(text)
 		var invalid *InvalidError
 		if err != nil && !errors.As(err, &invalid) {
 			t.Fatalf("untyped error %v", err)
--- a/router/internal/client/serve.go
+++ b/router/internal/client/serve.go
@@ -51,10 +51,10 @@
 
 // deadline is how long the request may take: the client's own time within the route's timeout.
 func deadline(r *direct.Request) time.Duration {
-	if r.Left == 0 {
+	if r.Timeout == 0 {
 		return r.Terms.Timeout
 	}
-	return min(r.Left, r.Terms.Timeout)
+	return min(r.Timeout, r.Terms.Timeout)
 }
 
 // admit finds the route and the team of a request.
@@ -94,7 +94,7 @@
 	if route.Public || !table.Keyed() {
 		return nil
 	}
-	team, ok := table.Team(r.Key)
+	team, ok := table.Team(r.APIKey)
 	if !ok {
 		return &refusal{status: http.StatusUnauthorized, code: "unknown_key"}
 	}
@@ -147,7 +147,7 @@
 		"upstream", res.Upstream, "outcome", res.Outcome, "code", res.Code, "status", res.Status,
 		"runs", res.Runs, "tries", res.Tries, "events", res.Events,
 		"load", res.Choice.Load, "mean_load", round(res.Choice.MeanLoad), "load_bound", round(res.Choice.LoadBound),
-		"prompt", r.SharedID().String(), "shared_tokens", int(r.Shared()), "cached_tokens", int(res.Choice.CachedTokens),
+		"prompt", r.SharedBlockID().String(), "shared_tokens", int(r.SharedTokens()), "cached_tokens", int(res.Choice.CachedTokens),
 		"waited_ms", res.Waited.Milliseconds(), "first_ms", res.FirstByte.Milliseconds(), "duration_ms", took.Milliseconds(),
 		"left_ms", r.Deadline.Sub(s.Clock.Now()).Milliseconds(),
 	}
--- a/router/internal/direct/attempt.go
+++ b/router/internal/direct/attempt.go
@@ -47,7 +47,7 @@
 	}
 	x.res.Upstream = i.ID
 	if x.Terms.Affinity {
-		d.Affinity.RecordUse(now, x.Parts, i.ID)
+		d.Affinity.RecordUse(now, x.PromptBlocks, i.ID)
 	}
 	d.Silence.Begin(d.Clock.Now(), i.ID)
 	defer d.Silence.End(i.ID)
@@ -81,7 +81,7 @@
 	out.Header = maps.Clone(x.Out.Header)
 	x.d.Dialect.WriteAttempt(out.Header, call.Attempt{
 		Upstream:  i.ID,
-		Left:      x.TimeLeft(x.d.Clock.Now()),
+		Timeout:   x.TimeLeft(x.d.Clock.Now()),
 		Team:      x.Team,
 		Rank:      x.Rank,
 		LastEvent: x.relay.last,
@@ -148,7 +148,7 @@
 			return attempt.ClientGone, true
 		}
 		x.relay.headed = true
-		return attempt.Whole, true
+		return attempt.Complete, true
 	}
 	x.d.Log.Info("upstream failure", "request", x.ID, "upstream", i.ID, "status", res.StatusCode)
 	return attempt.Failed, true
@@ -186,7 +186,7 @@
 		if err := whole.send(x.sink); err != nil {
 			return attempt.ClientGone, true
 		}
-		return attempt.Whole, true
+		return attempt.Complete, true
 	}
 	x.relay.headed = true
 	if err := x.sink.Head(res.StatusCode, res.Header, res.ContentLength); err != nil {
@@ -208,7 +208,7 @@
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			return attempt.Whole, true
+			return attempt.Complete, true
 		}
 		if err != nil {
 			return x.broken(ctx, i, err), false
@@ -225,7 +225,7 @@
 			if err := x.relay.end(res); err != nil {
 				return attempt.ClientGone, true
 			}
-			return attempt.Whole, true
+			return attempt.Complete, true
 		}
 		if err != nil {
 			return x.broken(ctx, i, err), false
--- a/router/internal/direct/dispatch.go
+++ b/router/internal/direct/dispatch.go
@@ -105,7 +105,7 @@
 }
 
 func (x *exchange) run(ctx context.Context) {
-	if x.Terms.Affinity && x.Shared() >= enginePolicy.LongPrefix {
+	if x.Terms.Affinity && x.SharedTokens() >= enginePolicy.LongPrefix {
 		x.d.Cached.Wait(ctx, warmWait)
 	}
 	for {
@@ -121,11 +121,11 @@
 			Ending:     ending,
 			Repeatable: x.Terms.Repeatable(),
 			Runs:       x.res.Runs,
-			Attempts:   x.Terms.Attempts,
-			Tries:      x.res.Tries,
-			Left:       x.TimeLeft(x.d.Clock.Now()),
+			MaxRuns:    x.Terms.Attempts,
+			Attempts:   x.res.Tries,
+			Remaining:  x.TimeLeft(x.d.Clock.Now()),
 		})
-		if step == attempt.Again && !x.takeRepeat(instance, ending) {
+		if step == attempt.Retry && !x.takeRepeat(instance, ending) {
 			step = attempt.Stop
 		}
 		if step == attempt.Stop {
@@ -234,7 +234,7 @@
 	switch {
 	case clientGone(ctx):
 		res.Outcome, res.Code = peer.OutcomeUnknown, CodeClientGone
-	case ending == attempt.Whole:
+	case ending == attempt.Complete:
 		res.Outcome, res.Code = peer.OutcomeDone, ""
 	case x.relay.headed:
 		res.Outcome, res.Code = peer.OutcomeUnknown, CodeCut
@@ -265,7 +265,7 @@
 	case attempt.NotSent:
 		retreat := x.d.Outliers.Unreachable(now, i.ID, i.Service)
 		x.d.Log.Warn("upstream unreachable", "request", x.ID, "upstream", i.ID, "address", i.Address, "avoided_ms", retreat.Milliseconds())
-	case attempt.Whole:
+	case attempt.Complete:
 		x.d.Outliers.Result(now, i.ID, i.Service, false)
 	case attempt.Failed, attempt.Lost, attempt.Cut:
 		if ctx.Err() == nil && x.d.Outliers.Result(now, i.ID, i.Service, true) {
--- a/router/internal/direct/place.go
+++ b/router/internal/direct/place.go
@@ -79,7 +79,7 @@
 	if r.Terms.Affinity {
 		policy = &enginePolicy
 	}
-	request := &placement.Request{DataCentre: d.DataCentre, SharedTokens: r.Shared(), Affinity: r.Terms.Affinity}
+	request := &placement.Request{DataCentre: d.DataCentre, SharedTokens: r.SharedTokens(), Affinity: r.Terms.Affinity}
 	choice := placement.Choose(policy, request, candidates)
 	if choice.Reason != placement.Chosen {
 		return members.Instance{}, choice
@@ -129,8 +129,8 @@
 }
 
 // sharedParts returns the parts of the prompt that other requests may share.
-func (r *Request) sharedParts() []call.Part {
-	return r.Parts[:max(0, len(r.Parts)-1)]
+func (r *Request) sharedParts() []call.PromptBlock {
+	return r.PromptBlocks[:max(0, len(r.PromptBlocks)-1)]
 }
 
 // ranks returns the place of each upstream in the rendezvous order of the longest shared part: 0 for the first, 1 for
--- a/router/internal/engines/inventory.go
+++ b/router/internal/engines/inventory.go
@@ -39,7 +39,7 @@
 
 // Asker asks an engine which parts of prompts it keeps.
 type Asker interface {
-	CachedBlocks(ctx context.Context, i members.Instance) ([]call.Part, error)
+	CachedBlocks(ctx context.Context, i members.Instance) ([]call.PromptBlock, error)
 }
 
 // Routers knows the other routers.
--- a/router/internal/engines/inventory_test.go
+++ b/router/internal/engines/inventory_test.go
@@ -27,11 +27,11 @@
 	err   error
 }
 
-func (a *fakeAsker) CachedBlocks(_ context.Context, i members.Instance) ([]call.Part, error) {
+func (a *fakeAsker) CachedBlocks(_ context.Context, i members.Instance) ([]call.PromptBlock, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.asked[i.ID]++
-	return []call.Part{{ID: 7, Tokens: 100}}, a.err
+	return []call.PromptBlock{{ID: 7, Tokens: 100}}, a.err
 }
 
 // fakeRouters is what one router knows of the others.
--- a/router/internal/routers/service_test.go
+++ b/router/internal/routers/service_test.go
@@ -131,7 +131,7 @@
 
 func TestCachedPromptsAndInstancesAreTold(t *testing.T) {
 	nodes := startNodes(t, 3)
-	parts := []call.Part{{ID: 9, Tokens: 1000}}
+	parts := []call.PromptBlock{{ID: 9, Tokens: 1000}}
 	nodes[1].affinity.RecordUse(clock.Boot{}.Now(), parts, "engine-1")
 	change := members.Change{ID: "engine-1", Revision: 7, Instance: members.Instance{ID: "engine-1", Service: "letters"}}
 	nodes[1].members.Learn(clock.Boot{}.Now(), []members.Change{change})
@@ -163,7 +163,7 @@
 	}
 	now := clock.Boot{}.Now()
 	for i := range 100 {
-		s.Affinity.RecordUse(now, []call.Part{{ID: call.PartID(i), Tokens: 10}}, "engine-1")
+		s.Affinity.RecordUse(now, []call.PromptBlock{{ID: call.PromptBlockID(i), Tokens: 10}}, "engine-1")
 	}
 	s.Affinity.TakeUpdates(now)
 	s.mu.Lock()
@@ -183,7 +183,7 @@
 		Clock: clock.Boot{}, KnowsHoldings: func() bool { return true }, Directory: func() (time.Duration, bool) { return 0, false },
 		Inventoried: func() []settings.UpstreamID { return nil },
 	}
-	s.Affinity.RecordUse(clock.Boot{}.Now(), []call.Part{{ID: 9, Tokens: 10}}, "engine-1")
+	s.Affinity.RecordUse(clock.Boot{}.Now(), []call.PromptBlock{{ID: 9, Tokens: 10}}, "engine-1")
 	s.spreadHoldings()
 	s.mu.Lock()
 	r := s.add("127.0.0.1:2")
--- a/router/internal/sides/dispatch.go
+++ b/router/internal/sides/dispatch.go
@@ -153,7 +153,7 @@
 // home returns the side that a key or ticket belongs to.
 func (d *Dispatcher) home(c *Call) (settings.UpstreamID, bool) {
 	if c.Ticket != "" {
-		claims, err := ticket.Read(c.Ticket)
+		claims, err := ticket.ParseUnverified(c.Ticket)
 		return claims.Upstream, err == nil
 	}
 	return d.View.Declared(c.Profile.Service).Home(outcome.HashKey(c.Key))
--- a/side/internal/router/door.go
+++ b/side/internal/router/door.go
@@ -64,7 +64,7 @@
 	scheduler share.Scheduler
 	attempts  outcome.Attempts
 	keys      outcome.Keys
-	homes     outcome.Homes
+	homes     outcome.Primaries
 	answers   map[settings.ProfileName]settings.Tokens
 	jobs      map[*job]struct{}
 	leaving   bool
@@ -100,7 +100,7 @@
 	d.homes.Self = d.Self
 	d.homes.Started = d.Started
 	d.homes.Lifetime = d.service.KeyLifetime
-	d.homes.Change(d.Clock.Now(), d.homesChange(before, c))
+	d.homes.Apply(d.Clock.Now(), d.homesChange(before, c))
 	d.startNext()
 }
 
@@ -126,9 +126,9 @@
 		}
 		switch d.serviceOf(id, before, c.Fleet) {
 		case d.name:
-			change.Touched = append(change.Touched, id)
+			change.Affected = append(change.Affected, id)
 		case "":
-			change.Blind = true
+			change.UnknownService = true
 		}
 	}
 	return change
--- a/side/internal/router/handover.go
+++ b/side/internal/router/handover.go
@@ -43,7 +43,7 @@
 	now := d.Clock.Now()
 	fresh := now.Sub(d.Started) < freshTime
 	var list []Question
-	for _, w := range d.homes.Waiting(now) {
+	for _, w := range d.homes.MissingAcks(now) {
 		address, ok := d.lastAddress(w.From)
 		if !ok {
 			continue
@@ -70,10 +70,10 @@
 	defer d.mu.Unlock()
 	now := d.Clock.Now()
 	for _, r := range h.Records {
-		d.keys.Adopt(now, r)
+		d.keys.Import(now, r)
 	}
 	if !h.Complete {
-		d.homes.Released(now, h.From, h.Ended, h.Revision, h.Covered)
+		d.homes.AddReleaseAck(now, h.From, h.Ended, h.Revision, h.Covered)
 		return
 	}
 	// Nobody between the predecessor and this process can have run a key: that takes a handover, and this is
@@ -119,7 +119,7 @@
 	if strings.Contains(key, ticketMark) {
 		return false
 	}
-	home, ok := d.homes.Home(key)
+	home, ok := d.homes.Primary(key)
 	return ok && home == side
 }
 
--- a/side/internal/router/run.go
+++ b/side/internal/router/run.go
@@ -96,7 +96,7 @@
 		return
 	}
 	if err != nil {
-		d.keys.Lose(now, j.record, d.service.KeyLifetime)
+		d.keys.MarkLost(now, j.record, d.service.KeyLifetime)
 		return
 	}
 	d.keys.Finish(now, j.record, j.answer, d.service.KeyLifetime)
--- a/side/internal/router/submit.go
+++ b/side/internal/router/submit.go
@@ -172,7 +172,7 @@
 		return 0, refused
 	}
 	body := xxhash.Sum64(append([]byte(j.submit.Method+" "+j.submit.Path+"\n"), j.submit.Body...))
-	r, step := d.keys.Look(j.key(), body)
+	r, step := d.keys.Lookup(j.key(), body)
 	if step != outcome.StepRun {
 		j.record = r
 		return step, nil
@@ -196,7 +196,7 @@
 		}
 		return nil
 	}
-	if home, ok := d.homes.Home(j.submit.Key); !ok || home != d.Self {
+	if home, ok := d.homes.Primary(j.submit.Key); !ok || home != d.Self {
 		return &refusal{code: peer.RefuseNotHome, retryAfter: time.Second}
 	}
 	return nil
@@ -208,8 +208,8 @@
 		return nil
 	}
 	now := d.Clock.Now()
-	if d.homes.Vouch(now, j.submit.Key) != outcome.VouchYes {
-		return &refusal{code: peer.RefuseHomeUnsure, retryAfter: d.homes.UnsureFor(now)}
+	if d.homes.Confirm(now, j.submit.Key) != outcome.Confirmed {
+		return &refusal{code: peer.RefuseHomeUnsure, retryAfter: d.homes.TimeToConfirm(now)}
 	}
 	return nil
 }
