--- a/core/members/book.go
+++ b/core/members/book.go
@@ -25,9 +25,9 @@
 	// Slots is the number of requests that the instance runs at a time.
 	Slots    int
 	Draining bool
-	// Cold is how much longer the instance is slow after its start, counted from when its entry was read.
-	Cold        time.Duration
-	Incarnation Incarnation
+	// ColdRemaining is how much longer the instance is slow after its start, counted from when its entry was read.
+	ColdRemaining time.Duration
+	Incarnation   Incarnation
 }
 
 // Change is a new state of one instance's entry.
@@ -79,8 +79,8 @@
 	missingUntil clock.Instant
 }
 
-// Book holds the instances that may be used; its zero value is empty.
-type Book struct {
+// Registry holds the instances that may be used; its zero value is empty.
+type Registry struct {
 	mu       sync.Mutex
 	entries  map[settings.UpstreamID]*entry
 	removed  map[settings.UpstreamID]Revision
@@ -97,8 +97,8 @@
 // maxListing bounds a listing for another router, of which the instances come first.
 const maxListing = 10_000
 
-// Outage notes whether the directory can be read.
-func (b *Book) Outage(now clock.Instant, down bool) {
+// SetOutage notes whether the directory can be read.
+func (b *Registry) SetOutage(now clock.Instant, down bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.outage && !down {
@@ -108,12 +108,12 @@
 }
 
 // unsettled reports whether an entry that vanishes now may have lapsed in an outage.
-func (b *Book) unsettled(now clock.Instant) bool {
+func (b *Registry) unsettled(now clock.Instant) bool {
 	return b.outage || (b.returned != 0 && now.Sub(b.returned) < returnTime)
 }
 
 // Replace takes in a whole listing that is complete up to the given revision.
-func (b *Book) Replace(now clock.Instant, at Revision, listed []Change) []Event {
+func (b *Registry) Replace(now clock.Instant, at Revision, listed []Change) []Event {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var events []Event
@@ -135,16 +135,16 @@
 }
 
 // Apply takes in single changes from the directory, in any order; older news than what is known is ignored.
-func (b *Book) Apply(now clock.Instant, changes []Change) []Event {
+func (b *Registry) Apply(now clock.Instant, changes []Change) []Event {
 	return b.applyAll(now, changes, now.Add(lapseTime))
 }
 
-// Learn takes in changes from another router, which has already waited for entries that may come back.
-func (b *Book) Learn(now clock.Instant, changes []Change) []Event {
+// ApplyRelayed takes in changes from another router, which has already waited for entries that may come back.
+func (b *Registry) ApplyRelayed(now clock.Instant, changes []Change) []Event {
 	return b.applyAll(now, changes, now)
 }
 
-func (b *Book) applyAll(now clock.Instant, changes []Change, until clock.Instant) []Event {
+func (b *Registry) applyAll(now clock.Instant, changes []Change, until clock.Instant) []Event {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var events []Event
@@ -158,7 +158,7 @@
 }
 
 // apply takes in one change; an entry that may have lapsed is kept until the given time.
-func (b *Book) apply(now clock.Instant, c Change, until clock.Instant) []Event {
+func (b *Registry) apply(now clock.Instant, c Change, until clock.Instant) []Event {
 	if b.entries == nil {
 		b.entries = make(map[settings.UpstreamID]*entry)
 		b.removed = make(map[settings.UpstreamID]Revision)
@@ -170,7 +170,7 @@
 	if c.Removed {
 		return b.remove(now, c.ID, c.Revision, until)
 	}
-	next := &entry{instance: c.Instance, revision: c.Revision, coldEnd: now.Add(c.Instance.Cold)}
+	next := &entry{instance: c.Instance, revision: c.Revision, coldEnd: now.Add(c.Instance.ColdRemaining)}
 	b.entries[c.ID] = next
 	delete(b.removed, c.ID)
 	kind := EventChanged
@@ -187,7 +187,7 @@
 }
 
 // remove drops an instance, or marks it missing while entries may have lapsed in an outage.
-func (b *Book) remove(now clock.Instant, id settings.UpstreamID, at Revision, until clock.Instant) []Event {
+func (b *Registry) remove(now clock.Instant, id settings.UpstreamID, at Revision, until clock.Instant) []Event {
 	e := b.entries[id]
 	if e == nil {
 		b.forget(id, at)
@@ -207,7 +207,7 @@
 	return []Event{{ID: id, Kind: EventRemoved, Instance: e.instance, Revision: at}}
 }
 
-func (b *Book) forget(id settings.UpstreamID, at Revision) {
+func (b *Registry) forget(id settings.UpstreamID, at Revision) {
 	if len(b.removed) >= maxRemoved {
 		clear(b.removed)
 	}
@@ -215,7 +215,7 @@
 }
 
 // Expire drops the missing instances whose time to come back has passed.
-func (b *Book) Expire(now clock.Instant) []Event {
+func (b *Registry) Expire(now clock.Instant) []Event {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var events []Event
@@ -233,22 +233,22 @@
 	return events
 }
 
-// Known reports whether a whole listing has been taken in.
-func (b *Book) Known() bool {
+// Complete reports whether a whole listing has been taken in.
+func (b *Registry) Complete() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.known
 }
 
-// MarkKnown notes that another router's whole listing has been taken in.
-func (b *Book) MarkKnown() {
+// MarkComplete notes that another router's whole listing has been taken in.
+func (b *Registry) MarkComplete() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.known = true
 }
 
 // Serving returns the instances of a service that may get new requests, sorted by id; callers must not change it.
-func (b *Book) Serving(name settings.ServiceName) []Instance {
+func (b *Registry) Serving(name settings.ServiceName) []Instance {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.services == nil {
@@ -257,7 +257,7 @@
 	return b.services[name]
 }
 
-func (b *Book) index() {
+func (b *Registry) index() {
 	b.services = make(map[settings.ServiceName][]Instance)
 	for _, e := range b.entries {
 		if !e.instance.Draining {
@@ -269,8 +269,8 @@
 	}
 }
 
-// Cold returns how much longer an instance is slow after its start.
-func (b *Book) Cold(now clock.Instant, id settings.UpstreamID) time.Duration {
+// ColdRemaining returns how much longer an instance is slow after its start.
+func (b *Registry) ColdRemaining(now clock.Instant, id settings.UpstreamID) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e := b.entries[id]
@@ -280,8 +280,8 @@
 	return max(0, e.coldEnd.Sub(now))
 }
 
-// Listing returns every entry and every removal that is remembered, for a router that has just started.
-func (b *Book) Listing() []Change {
+// Snapshot returns every entry and every removal that is remembered, for a router that has just started.
+func (b *Registry) Snapshot() []Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	list := make([]Change, 0, len(b.entries))
@@ -311,10 +311,10 @@
 }
 
 // String returns the name under which the book is dumped.
-func (b *Book) String() string { return "members" }
+func (b *Registry) String() string { return "members" }
 
 // Dump returns the instances, sorted by id.
-func (b *Book) Dump() any {
+func (b *Registry) Dump() any {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	list := make([]Status, 0, len(b.entries))
--- a/core/members/book_test.go
+++ b/core/members/book_test.go
@@ -20,7 +20,7 @@
 	return Change{ID: id, Revision: r, Removed: true}
 }
 
-func ids(b *Book) []settings.UpstreamID {
+func ids(b *Registry) []settings.UpstreamID {
 	var list []settings.UpstreamID
 	for _, i := range b.Serving("letters") {
 		list = append(list, i.ID)
@@ -30,7 +30,7 @@
 
 func TestOlderNewsIsIgnored(t *testing.T) {
 	c := qt.New(t)
-	var b Book
+	var b Registry
 	b.Replace(second, 10, []Change{listed("a", 5), listed("b", 6)})
 	c.Assert(b.Apply(second, []Change{removed("a", 11)}), qt.HasLen, 1)
 	c.Assert(b.Apply(second, []Change{listed("a", 5), removed("b", 4)}), qt.HasLen, 0)
@@ -41,7 +41,7 @@
 
 func TestWholeListingDropsWhatItLacks(t *testing.T) {
 	c := qt.New(t)
-	var b Book
+	var b Registry
 	b.Replace(second, 10, []Change{listed("a", 5), listed("b", 6)})
 	b.Apply(second, []Change{listed("c", 12)})
 	b.Replace(second, 11, []Change{listed("a", 5)})
@@ -51,7 +51,7 @@
 
 func TestDrainingInstancesGetNothing(t *testing.T) {
 	c := qt.New(t)
-	var b Book
+	var b Registry
 	b.Replace(second, 10, []Change{listed("a", 5), listed("b", 6)})
 	leaving := listed("a", 11)
 	leaving.Instance.Draining = true
@@ -63,10 +63,10 @@
 
 func TestEntriesThatLapsedInAnOutageMayComeBack(t *testing.T) {
 	c := qt.New(t)
-	var b Book
+	var b Registry
 	b.Replace(second, 10, []Change{listed("a", 5), listed("b", 6)})
-	b.Outage(2*second, true)
-	b.Outage(6*second, false)
+	b.SetOutage(2*second, true)
+	b.SetOutage(6*second, false)
 	b.Replace(6*second, 20, nil)
 	c.Assert(ids(&b), qt.DeepEquals, []settings.UpstreamID{"a", "b"})
 	b.Apply(7*second, []Change{listed("a", 21)})
@@ -80,9 +80,9 @@
 // older listing must not bring it back, or they would go on for ever.
 func TestMissingInstanceIsReportedOnce(t *testing.T) {
 	c := qt.New(t)
-	var b Book
+	var b Registry
 	b.Replace(second, 10, []Change{listed("a", 5)})
-	b.Outage(2*second, true)
+	b.SetOutage(2*second, true)
 	c.Assert(b.Apply(3*second, []Change{removed("a", 15)}), qt.HasLen, 1)
 	for range 3 {
 		c.Assert(b.Apply(3*second, []Change{listed("a", 5)}), qt.HasLen, 0)
@@ -92,7 +92,7 @@
 
 func TestRestartUnderOneID(t *testing.T) {
 	c := qt.New(t)
-	var b Book
+	var b Registry
 	b.Replace(second, 10, []Change{listed("a", 5)})
 	again := listed("a", 11)
 	again.Instance.Incarnation = 7
@@ -105,10 +105,10 @@
 // later must get no more requests within the bound for leaving instances.
 func TestRemovalAfterAnOutageIsHeeded(t *testing.T) {
 	c := qt.New(t)
-	var b Book
+	var b Registry
 	b.Replace(second, 10, []Change{listed("a", 5), listed("b", 6)})
-	b.Outage(2*second, true)
-	b.Outage(6*second, false)
+	b.SetOutage(2*second, true)
+	b.SetOutage(6*second, false)
 	b.Replace(6*second, 20, []Change{listed("a", 5), listed("b", 6)})
 	b.Apply(8*second, []Change{removed("a", 21)})
 	b.Expire(8*second + clock.Instant(1500*time.Millisecond))
@@ -119,10 +119,10 @@
 // instance from a router that is not.
 func TestAnotherRoutersRemovalHoldsInAnOutage(t *testing.T) {
 	c := qt.New(t)
-	var b Book
+	var b Registry
 	b.Replace(second, 10, []Change{listed("a", 5), listed("b", 6)})
-	b.Outage(2*second, true)
-	b.Learn(3*second, []Change{removed("a", 21)})
+	b.SetOutage(2*second, true)
+	b.ApplyRelayed(3*second, []Change{removed("a", 21)})
 	c.Assert(ids(&b), qt.DeepEquals, []settings.UpstreamID{"b"})
 }
 
@@ -130,16 +130,16 @@
 // the other does not read and hears of it from the first. Without the news it would drop the instance for good.
 func TestReturnOfALapsedEntryIsNews(t *testing.T) {
 	c := qt.New(t)
-	var reader, other Book
-	for _, b := range []*Book{&reader, &other} {
+	var reader, other Registry
+	for _, b := range []*Registry{&reader, &other} {
 		b.Replace(second, 10, []Change{listed("a", 5)})
-		b.Outage(2*second, true)
-		b.Outage(6*second, false)
+		b.SetOutage(2*second, true)
+		b.SetOutage(6*second, false)
 		b.Replace(6*second, 20, nil)
 	}
 	back := listed("a", 21)
 	c.Assert(reader.Apply(7*second, []Change{back}), qt.HasLen, 1)
-	c.Assert(other.Learn(7*second, []Change{back}), qt.HasLen, 1)
+	c.Assert(other.ApplyRelayed(7*second, []Change{back}), qt.HasLen, 1)
 	other.Expire(20 * second)
 	c.Assert(ids(&other), qt.DeepEquals, []settings.UpstreamID{"a"})
 }
--- a/core/outlier/detector.go
+++ b/core/outlier/detector.go
@@ -89,8 +89,8 @@
 	return u
 }
 
-// Result counts the end of an attempt that reached an upstream; it reports whether the upstream is ejected for it.
-func (d *Detector) Result(now clock.Instant, id settings.UpstreamID, service settings.ServiceName, failed bool) bool {
+// RecordResult counts the end of an attempt that reached an upstream; it reports whether the upstream is ejected for it.
+func (d *Detector) RecordResult(now clock.Instant, id settings.UpstreamID, service settings.ServiceName, failed bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	u := d.get(id, service)
@@ -114,8 +114,8 @@
 	return true
 }
 
-// Unreachable counts an attempt that found no connection; it returns how long the upstream is left alone.
-func (d *Detector) Unreachable(now clock.Instant, id settings.UpstreamID, service settings.ServiceName) time.Duration {
+// RecordUnreachable counts an attempt that found no connection; it returns how long the upstream is left alone.
+func (d *Detector) RecordUnreachable(now clock.Instant, id settings.UpstreamID, service settings.ServiceName) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	u := d.get(id, service)
--- a/core/outlier/detector_test.go
+++ b/core/outlier/detector_test.go
@@ -20,7 +20,7 @@
 	for i := range 12 {
 		now := start.Add(time.Duration(i) * 50 * time.Millisecond)
 		for _, id := range ids {
-			d.Result(now, id, "letters", id == "b" && i%2 == 0)
+			d.RecordResult(now, id, "letters", id == "b" && i%2 == 0)
 		}
 	}
 	now := start.Add(time.Second)
@@ -35,7 +35,7 @@
 	for i := range 40 {
 		now := start.Add(time.Duration(i) * 50 * time.Millisecond)
 		for _, id := range ids {
-			d.Result(now, id, "letters", i%2 == 0)
+			d.RecordResult(now, id, "letters", i%2 == 0)
 		}
 	}
 	ejected := d.Ejected(start.Add(2*time.Second), ids)
@@ -52,7 +52,7 @@
 	c := qt.New(t)
 	var d Detector
 	for _, id := range ids[:3] {
-		d.Unreachable(start, id, "letters")
+		d.RecordUnreachable(start, id, "letters")
 	}
 	c.Assert(d.Ejected(start, ids), qt.DeepEquals, []bool{false, false, false, false})
 }
@@ -60,9 +60,9 @@
 func TestUnreachableUpstreamIsLeftAloneForLonger(t *testing.T) {
 	c := qt.New(t)
 	var d Detector
-	first := d.Unreachable(start, "a", "letters")
-	second := d.Unreachable(start, "a", "letters")
+	first := d.RecordUnreachable(start, "a", "letters")
+	second := d.RecordUnreachable(start, "a", "letters")
 	c.Assert(second, qt.Equals, 2*first)
-	d.Result(start, "a", "letters", false)
-	c.Assert(d.Unreachable(start, "a", "letters"), qt.Equals, first)
+	d.RecordResult(start, "a", "letters", false)
+	c.Assert(d.RecordUnreachable(start, "a", "letters"), qt.Equals, first)
 }
--- a/core/peer/router.go
+++ b/core/peer/router.go
@@ -21,7 +21,7 @@
 	// Open is the number of requests that it has open at each upstream.
 	Open inflight.Counts
 	// Signs is what the router hears of upstreams, but for those that answer the requests in Open.
-	Signs silence.Signs
+	Signs silence.Observations
 	// KnowsHoldings says that it knows which prompts are cached where, from its own time or from the engines.
 	KnowsHoldings bool
 	// WantsHoldings asks a router that knows them for all cached prompts.
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -16,15 +16,15 @@
 	spent float64
 }
 
-// First counts a first attempt.
-func (b *Budget) First() {
+// RecordFirstAttempt counts a first attempt.
+func (b *Budget) RecordFirstAttempt() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.spent = max(0, b.spent-Share)
 }
 
-// Take reports whether a retry may be made, and counts it.
-func (b *Budget) Take() bool {
+// Allow reports whether a retry may be made, and counts it.
+func (b *Budget) Allow() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.spent+1 > maxSaved {
--- a/core/retry/budget_test.go
+++ b/core/retry/budget_test.go
@@ -12,10 +12,10 @@
 	const first = 10_000
 	attempts := 0
 	for range first {
-		b.First()
+		b.RecordFirstAttempt()
 		attempts++
 		for range 3 {
-			if b.Take() {
+			if b.Allow() {
 				attempts++
 			}
 		}
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -8,8 +8,8 @@
 	"rattantrack.dev/core/settings"
 )
 
-// Terms are the bound on repeats that all routers share, for each service.
-type Terms struct {
+// Limits are the bound on repeats that all routers share, for each service.
+type Limits struct {
 	// Ratio is the number of repeats that each request allows.
 	Ratio float64
 	// Slack is the number of repeats allowed in a window besides.
@@ -36,16 +36,16 @@
 	steps [windowSteps + 1]step
 }
 
-// Window bounds the repeats of one router to its part of what the fleet may make. It answers a load in which many
+// FleetBudget bounds the repeats of one router to its part of what the fleet may make. It answers a load in which many
 // requests fail at once: without a bound, repeats would add to the load that made them fail.
-type Window struct {
-	Terms Terms
+type FleetBudget struct {
+	Limits Limits
 
 	mu       sync.Mutex
 	services map[settings.ServiceName]*counter
 }
 
-func (w *Window) counter(name settings.ServiceName) *counter {
+func (w *FleetBudget) counter(name settings.ServiceName) *counter {
 	if w.services == nil {
 		w.services = make(map[settings.ServiceName]*counter)
 	}
@@ -57,8 +57,8 @@
 	return c
 }
 
-func (w *Window) number(now clock.Instant) int64 {
-	return int64(now) / max(1, int64(w.Terms.Window)/windowSteps)
+func (w *FleetBudget) number(now clock.Instant) int64 {
+	return int64(now) / max(1, int64(w.Limits.Window)/windowSteps)
 }
 
 func (c *counter) at(number int64) *step {
@@ -80,20 +80,20 @@
 	return requests, repeats
 }
 
-// Request counts a request of a client.
-func (w *Window) Request(now clock.Instant, name settings.ServiceName) {
+// RecordRequest counts a request of a client.
+func (w *FleetBudget) RecordRequest(now clock.Instant, name settings.ServiceName) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.counter(name).at(w.number(now)).requests++
 }
 
-// Take reports whether one more repeat may be made, and counts it; routers is the number of routers that share.
-func (w *Window) Take(now clock.Instant, name settings.ServiceName, routers int) bool {
+// Allow reports whether one more repeat may be made, and counts it; routers is the number of routers that share.
+func (w *FleetBudget) Allow(now clock.Instant, name settings.ServiceName, routers int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	c, number := w.counter(name), w.number(now)
 	requests, repeats := c.sum(number)
-	allowed := w.Terms.Ratio*float64(requests) + shareOfSlack*w.Terms.Slack/float64(max(1, routers))
+	allowed := w.Limits.Ratio*float64(requests) + shareOfSlack*w.Limits.Slack/float64(max(1, routers))
 	if float64(repeats+1) > allowed {
 		return false
 	}
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -13,11 +13,11 @@
 // window may their repeats together exceed the terms.
 func TestFleetStaysWithinItsTerms(t *testing.T) {
 	c := qt.New(t)
-	terms := Terms{Ratio: 0.2, Slack: 58, Window: 10 * time.Second}
+	terms := Limits{Ratio: 0.2, Slack: 58, Window: 10 * time.Second}
 	const routers = 5
-	windows := make([]*Window, routers)
+	windows := make([]*FleetBudget, routers)
 	for i := range windows {
-		windows[i] = &Window{Terms: terms}
+		windows[i] = &FleetBudget{Limits: terms}
 	}
 	type second struct{ requests, repeats int }
 	var history []second
@@ -26,10 +26,10 @@
 		for i, w := range windows {
 			for n := range 10 + 7*i {
 				now := clock.Instant(time.Duration(s)*time.Second + time.Duration(n)*10*time.Millisecond)
-				w.Request(now, "desk")
+				w.RecordRequest(now, "desk")
 				sum.requests++
 				for range 3 {
-					if w.Take(now, "desk", routers) {
+					if w.Allow(now, "desk", routers) {
 						sum.repeats++
 					}
 				}
@@ -50,11 +50,11 @@
 
 func TestQuietServiceMayRepeatAFew(t *testing.T) {
 	c := qt.New(t)
-	w := Window{Terms: Terms{Ratio: 0.2, Slack: 58, Window: 10 * time.Second}}
+	w := FleetBudget{Limits: Limits{Ratio: 0.2, Slack: 58, Window: 10 * time.Second}}
 	n := 0
-	for w.Take(clock.Instant(time.Second), "desk", 5) {
+	for w.Allow(clock.Instant(time.Second), "desk", 5) {
 		n++
 	}
 	c.Assert(n, qt.Equals, 8)
-	c.Assert(w.Take(clock.Instant(30*time.Second), "desk", 5), qt.IsTrue)
+	c.Assert(w.Allow(clock.Instant(30*time.Second), "desk", 5), qt.IsTrue)
 }
--- a/core/silence/bench_test.go
+++ b/core/silence/bench_test.go
@@ -24,7 +24,7 @@
 				d.Report(1000*ms, inflight.RouterID(fmt.Sprint(r)), open, nil)
 			}
 			for b.Loop() {
-				d.Silent(1100*ms, list)
+				d.Unresponsive(1100*ms, list)
 			}
 		})
 	}
--- a/core/silence/detector.go
+++ b/core/silence/detector.go
@@ -12,9 +12,9 @@
 
 // Times of the judgement.
 const (
-	// Limit is how long nothing may come from an upstream at a router that waits for it: an engine that reads the
+	// ResponseTimeout is how long nothing may come from an upstream at a router that waits for it: an engine that reads the
 	// longest prompt answers nobody for 450 ms, and plain services answer in tens of milliseconds.
-	Limit = 700 * time.Millisecond
+	ResponseTimeout = 700 * time.Millisecond
 	// holdTime is how long an upstream gets no requests after it was found silent, unless it is heard.
 	holdTime = 2 * time.Second
 	// reportTime is how long another router's word is believed.
@@ -24,18 +24,18 @@
 	maxSilent = 0.5
 )
 
-// Sign is what one router hears of one upstream.
-type Sign struct {
+// Observation is what one router hears of one upstream.
+type Observation struct {
 	// QuietMS is the time in milliseconds since the router heard the upstream or, where Heard is false, began to wait.
 	QuietMS uint16
 	// Waiting says that the router has requests open there.
 	Waiting, Heard bool
 }
 
-func (s Sign) quiet() time.Duration { return time.Duration(s.QuietMS) * time.Millisecond }
+func (s Observation) quiet() time.Duration { return time.Duration(s.QuietMS) * time.Millisecond }
 
-// Signs is what one router hears of the upstreams.
-type Signs map[settings.UpstreamID]Sign
+// Observations is what one router hears of the upstreams.
+type Observations map[settings.UpstreamID]Observation
 
 // upstream is what this router knows of one upstream.
 type upstream struct {
@@ -47,8 +47,8 @@
 }
 
 // sign returns the state as other routers should know it.
-func (u *upstream) sign(now clock.Instant) Sign {
-	s := Sign{Waiting: u.open > 0, Heard: u.heard != 0 && (u.open == 0 || u.heard >= u.opened)}
+func (u *upstream) sign(now clock.Instant) Observation {
+	s := Observation{Waiting: u.open > 0, Heard: u.heard != 0 && (u.open == 0 || u.heard >= u.opened)}
 	since := u.opened
 	if s.Heard {
 		since = u.heard
@@ -60,7 +60,7 @@
 // report is what another router said last.
 type report struct {
 	at    clock.Instant
-	signs Signs
+	signs Observations
 }
 
 // Detector judges the upstreams; its zero value knows none. It answers upstreams that go dark while their connections stay
@@ -99,8 +99,8 @@
 	u.open++
 }
 
-// Heard notes that bytes have come from an upstream.
-func (d *Detector) Heard(now clock.Instant, id settings.UpstreamID) {
+// ResponseReceived notes that bytes have come from an upstream.
+func (d *Detector) ResponseReceived(now clock.Instant, id settings.UpstreamID) {
 	d.mu.Lock()
 	u := d.get(id)
 	u.heard = now
@@ -131,12 +131,12 @@
 	}
 }
 
-// Own returns what other routers should hear of the upstreams. An upstream that answers the requests open there is left
+// Local returns what other routers should hear of the upstreams. An upstream that answers the requests open there is left
 // out, which most are: it goes without saying for one with open requests.
-func (d *Detector) Own(now clock.Instant) Signs {
+func (d *Detector) Local(now clock.Instant) Observations {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	signs := make(Signs)
+	signs := make(Observations)
 	for id, u := range d.upstreams {
 		s := u.sign(now)
 		if (s.Waiting && !s.hears(0)) || (!s.Waiting && s.hears(0)) {
@@ -147,13 +147,13 @@
 }
 
 // Report takes in what another router hears, and the requests that it has open.
-func (d *Detector) Report(now clock.Instant, from inflight.RouterID, open inflight.Counts, signs Signs) {
+func (d *Detector) Report(now clock.Instant, from inflight.RouterID, open inflight.Counts, signs Observations) {
 	if signs == nil {
-		signs = make(Signs, len(open))
+		signs = make(Observations, len(open))
 	}
 	for id := range open {
 		if _, ok := signs[id]; !ok {
-			signs[id] = Sign{Waiting: true, Heard: true}
+			signs[id] = Observation{Waiting: true, Heard: true}
 		}
 	}
 	d.mu.Lock()
@@ -170,8 +170,8 @@
 	d.others[from] = report{at: now, signs: signs}
 }
 
-// Silent reports, for each upstream of one service in the order given, whether it should get no requests now.
-func (d *Detector) Silent(now clock.Instant, ids []settings.UpstreamID) []bool {
+// Unresponsive reports, for each upstream of one service in the order given, whether it should get no requests now.
+func (d *Detector) Unresponsive(now clock.Instant, ids []settings.UpstreamID) []bool {
 	silent, found := d.silent(now, ids)
 	for _, id := range found {
 		d.changed(id, true)
@@ -242,18 +242,18 @@
 }
 
 // inVain reports whether a sign shows a router that waits for too long.
-func (s Sign) inVain() bool { return s.Waiting && s.quiet() >= Limit }
+func (s Observation) inVain() bool { return s.Waiting && s.quiet() >= ResponseTimeout }
 
 // hears reports whether a sign shows that the upstream answers: a router that waits for it has heard it shortly before its
 // word, or one that does not wait has heard it shortly before now.
-func (s Sign) hears(age time.Duration) bool {
+func (s Observation) hears(age time.Duration) bool {
 	if !s.Heard {
 		return false
 	}
 	if s.Waiting {
-		return s.quiet() < Limit/2
+		return s.quiet() < ResponseTimeout/2
 	}
-	return s.quiet()+age < Limit
+	return s.quiet()+age < ResponseTimeout
 }
 
 func (d *Detector) changed(id settings.UpstreamID, silent bool) {
--- a/core/silence/detector_test.go
+++ b/core/silence/detector_test.go
@@ -31,15 +31,15 @@
 		}, true},
 		{"an event has just come", func(d *Detector) {
 			d.Begin(1000*ms, "a")
-			d.Heard(1900*ms, "a")
+			d.ResponseReceived(1900*ms, "a")
 		}, false},
 		{"the last event is long ago", func(d *Detector) {
 			d.Begin(1000*ms, "a")
-			d.Heard(1200*ms, "a")
+			d.ResponseReceived(1200*ms, "a")
 		}, true},
 		{"another router that waits too hears it", func(d *Detector) {
 			d.Begin(1000*ms, "a")
-			d.Report(1000*ms, "r2", nil, Signs{"a": {QuietMS: 40, Waiting: true, Heard: true}})
+			d.Report(1000*ms, "r2", nil, Observations{"a": {QuietMS: 40, Waiting: true, Heard: true}})
 		}, false},
 		{"another router has open requests there and says nothing of them", func(d *Detector) {
 			d.Begin(1000*ms, "a")
@@ -47,18 +47,18 @@
 		}, false},
 		{"another router has heard it and waits no more", func(d *Detector) {
 			d.Begin(1000*ms, "a")
-			d.Report(1900*ms, "r2", nil, Signs{"a": {QuietMS: 100, Heard: true}})
+			d.Report(1900*ms, "r2", nil, Observations{"a": {QuietMS: 100, Heard: true}})
 		}, false},
 		{"another router waits in vain too", func(d *Detector) {
 			d.Begin(1000*ms, "a")
-			d.Report(1900*ms, "r2", nil, Signs{"a": {QuietMS: 800, Waiting: true, Heard: true}})
+			d.Report(1900*ms, "r2", nil, Observations{"a": {QuietMS: 800, Waiting: true, Heard: true}})
 		}, true},
 		{"another router has just begun to wait", func(d *Detector) {
 			d.Begin(1000*ms, "a")
-			d.Report(1900*ms, "r2", nil, Signs{"a": {QuietMS: 10, Waiting: true}})
+			d.Report(1900*ms, "r2", nil, Observations{"a": {QuietMS: 10, Waiting: true}})
 		}, true},
 		{"only another router waits in vain", func(d *Detector) {
-			d.Report(1900*ms, "r2", nil, Signs{"a": {QuietMS: 800, Waiting: true}})
+			d.Report(1900*ms, "r2", nil, Observations{"a": {QuietMS: 800, Waiting: true}})
 		}, true},
 		{"all requests have ended", func(d *Detector) {
 			d.Begin(1000*ms, "a")
@@ -73,7 +73,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			d := &Detector{}
 			tt.play(d)
-			qt.New(t).Assert(d.Silent(2000*ms, ids), qt.DeepEquals, []bool{tt.want, false, false})
+			qt.New(t).Assert(d.Unresponsive(2000*ms, ids), qt.DeepEquals, []bool{tt.want, false, false})
 		})
 	}
 }
@@ -83,7 +83,7 @@
 	for _, id := range ids {
 		d.Begin(1000*ms, id)
 	}
-	qt.New(t).Assert(d.Silent(2000*ms, ids), qt.DeepEquals, []bool{false, false, false})
+	qt.New(t).Assert(d.Unresponsive(2000*ms, ids), qt.DeepEquals, []bool{false, false, false})
 }
 
 func TestSilentUpstreamIsTriedAgainAndHeard(t *testing.T) {
@@ -93,13 +93,13 @@
 		changes = append(changes, fmt.Sprint(id, silent))
 	}}
 	d.Begin(1000*ms, "a")
-	c.Assert(d.Silent(2000*ms, ids)[0], qt.IsTrue)
+	c.Assert(d.Unresponsive(2000*ms, ids)[0], qt.IsTrue)
 	d.End("a")
-	c.Assert(d.Silent(3900*ms, ids)[0], qt.IsTrue)
-	c.Assert(d.Silent(4100*ms, ids)[0], qt.IsFalse)
+	c.Assert(d.Unresponsive(3900*ms, ids)[0], qt.IsTrue)
+	c.Assert(d.Unresponsive(4100*ms, ids)[0], qt.IsFalse)
 	d.Begin(4100*ms, "a")
-	d.Heard(4200*ms, "a")
-	c.Assert(d.Silent(4300*ms, ids)[0], qt.IsFalse)
+	d.ResponseReceived(4200*ms, "a")
+	c.Assert(d.Unresponsive(4300*ms, ids)[0], qt.IsFalse)
 	c.Assert(changes, qt.DeepEquals, []string{"atrue", "afalse"})
 }
 
@@ -122,19 +122,19 @@
 				isDark := e < dark && at >= darkAt
 				// Each router has a request at about a third of the engines, and engines send an event each 60 ms.
 				if (r+e+at/step)%30 == 0 {
-					if ds[r].Silent(now, list)[e] {
+					if ds[r].Unresponsive(now, list)[e] {
 						wrong += btoi(!isDark)
 						continue
 					}
-					wasted += btoi(isDark && at > darkAt+int(Limit.Milliseconds())+exchange)
+					wasted += btoi(isDark && at > darkAt+int(ResponseTimeout.Milliseconds())+exchange)
 					ds[r].Begin(now, id)
 				}
 				if (r+e+at/step)%30 == 15 && !isDark {
-					ds[r].Heard(now, id)
+					ds[r].ResponseReceived(now, id)
 					ds[r].End(id)
 				}
 				if (r+e+at/step)%3 == 0 && !isDark && ds[r].upstreams[id] != nil && ds[r].upstreams[id].open > 0 {
-					ds[r].Heard(now, id)
+					ds[r].ResponseReceived(now, id)
 				}
 			}
 		}
@@ -148,7 +148,7 @@
 				}
 				for other := range ds {
 					if other != r {
-						ds[other].Report(now, inflight.RouterID(fmt.Sprint(r)), open, ds[r].Own(now))
+						ds[other].Report(now, inflight.RouterID(fmt.Sprint(r)), open, ds[r].Local(now))
 					}
 				}
 			}
--- a/router/internal/app/direct.go
+++ b/router/internal/app/direct.go
@@ -64,7 +64,7 @@
 	metrics *operator.Metrics
 
 	store       *revision.Store
-	members     *members.Book
+	members     *members.Registry
 	affinity    *affinity.Index
 	outliers    *outlier.Detector
 	silence     *silence.Detector
@@ -88,7 +88,7 @@
 		log:      l,
 		metrics:  operator.NewMetrics("router"),
 		store:    &revision.Store{},
-		members:  &members.Book{},
+		members:  &members.Registry{},
 		affinity: &affinity.Index{},
 		outliers: &outlier.Detector{},
 		silence:  &silence.Detector{},
@@ -173,7 +173,7 @@
 		Outliers:    d.outliers,
 		Silence:     d.silence,
 		Queues:      &waiting.Queues{},
-		Budget:      &retry.Window{Terms: retry.Terms{Ratio: repeats.Ratio, Slack: repeats.Slack, Window: repeats.Window}},
+		Budget:      &retry.FleetBudget{Limits: retry.Limits{Ratio: repeats.Ratio, Slack: repeats.Slack, Window: repeats.Window}},
 		Connections: d.connections,
 		Dialect:     platform.Dialect{},
 		Cached:      d.inventory,
@@ -186,7 +186,7 @@
 			d.log.Info("upstream heard again", "upstream", id)
 			return
 		}
-		d.log.Warn("upstream silent", "upstream", id, "quiet_ms", silence.Limit.Milliseconds())
+		d.log.Warn("upstream silent", "upstream", id, "quiet_ms", silence.ResponseTimeout.Milliseconds())
 	}
 	d.client = &client.Server{
 		Address:    d.cfg.Caller,
@@ -269,7 +269,7 @@
 
 // ready reports whether the balancer should send connections.
 func (d *Direct) ready() bool {
-	return d.client.Known() && d.members.Known() && d.inventory.Warm() && !d.client.Leaving()
+	return d.client.Known() && d.members.Complete() && d.inventory.Warm() && !d.client.Leaving()
 }
 
 // Serve gives a peer's message to the service that answers it.
--- a/router/internal/direct/attempt.go
+++ b/router/internal/direct/attempt.go
@@ -60,7 +60,7 @@
 		conn.Close()
 		return x.unanswered(ctx, i, err)
 	}
-	d.Silence.Heard(d.Clock.Now(), i.ID)
+	d.Silence.ResponseReceived(d.Clock.Now(), i.ID)
 	if x.res.FirstByte == 0 {
 		x.res.FirstByte = d.Clock.Now().Sub(x.Arrived)
 	}
@@ -127,7 +127,7 @@
 	// The upstream may also answer so for other reasons than its identity, so the entry stays until the platform
 	// changes it; the request does not go there again.
 	x.d.Log.Warn("misdirected", "request", x.ID, "upstream", i.ID, "address", i.Address, "status", res.StatusCode)
-	x.d.Outliers.Unreachable(x.d.Clock.Now(), i.ID, i.Service)
+	x.d.Outliers.RecordUnreachable(x.d.Clock.Now(), i.ID, i.Service)
 }
 
 // failed keeps a failure that the upstream answered whole, to be passed on if nothing better follows.
@@ -230,7 +230,7 @@
 		if err != nil {
 			return x.broken(ctx, i, err), false
 		}
-		x.d.Silence.Heard(x.d.Clock.Now(), i.ID)
+		x.d.Silence.ResponseReceived(x.d.Clock.Now(), i.ID)
 		watch.progress()
 		if err := x.relay.event(res, e, !events.Buffered()); err != nil {
 			var order *orderError
--- a/router/internal/direct/dispatch.go
+++ b/router/internal/direct/dispatch.go
@@ -50,13 +50,13 @@
 // Dispatcher takes requests to upstreams.
 type Dispatcher struct {
 	DataCentre  settings.DataCentre
-	Members     *members.Book
+	Members     *members.Registry
 	Ledger      *inflight.Tracker
 	Affinity    *affinity.Index
 	Outliers    *outlier.Detector
 	Silence     *silence.Detector
 	Queues      *waiting.Queues
-	Budget      *retry.Window
+	Budget      *retry.FleetBudget
 	Connections Connections
 	Dialect     Dialect
 	Cached      Cached
@@ -95,7 +95,7 @@
 	now := d.Clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, r.TimeLeft(now))
 	defer cancel()
-	d.Budget.Request(now, r.Service)
+	d.Budget.RecordRequest(now, r.Service)
 	x := &exchange{Request: r, d: d, sink: sink, relay: relay{sink: sink, last: r.LastEvent}}
 	x.run(ctx)
 	x.res.Headed = x.relay.headed
@@ -139,7 +139,7 @@
 func (x *exchange) takeRepeat(i members.Instance, ending attempt.Ending) bool {
 	now := x.d.Clock.Now()
 	routers := x.d.Ledger.RouterCount(now)
-	ok := x.d.Budget.Take(now, x.Service, routers)
+	ok := x.d.Budget.Allow(now, x.Service, routers)
 	x.d.Log.Info("repeat", "request", x.ID, "upstream", i.ID, "ending", ending, "runs", x.res.Runs, "routers", routers, "allowed", ok)
 	return ok
 }
@@ -263,12 +263,12 @@
 	x.tried.note(i.ID, ending, x.stalled)
 	switch ending {
 	case attempt.NotSent:
-		retreat := x.d.Outliers.Unreachable(now, i.ID, i.Service)
+		retreat := x.d.Outliers.RecordUnreachable(now, i.ID, i.Service)
 		x.d.Log.Warn("upstream unreachable", "request", x.ID, "upstream", i.ID, "address", i.Address, "avoided_ms", retreat.Milliseconds())
 	case attempt.Complete:
-		x.d.Outliers.Result(now, i.ID, i.Service, false)
+		x.d.Outliers.RecordResult(now, i.ID, i.Service, false)
 	case attempt.Failed, attempt.Lost, attempt.Cut:
-		if ctx.Err() == nil && x.d.Outliers.Result(now, i.ID, i.Service, true) {
+		if ctx.Err() == nil && x.d.Outliers.RecordResult(now, i.ID, i.Service, true) {
 			x.d.Log.Warn("upstream ejected", "request", x.ID, "upstream", i.ID, "ending", ending)
 		}
 	}
--- a/router/internal/direct/dispatch_test.go
+++ b/router/internal/direct/dispatch_test.go
@@ -164,9 +164,9 @@
 	t.Helper()
 	c := qt.New(t)
 	b := &bench{Dispatcher: &Dispatcher{
-		DataCentre: "kano", Members: &members.Book{}, Ledger: &inflight.Tracker{}, Affinity: &affinity.Index{},
+		DataCentre: "kano", Members: &members.Registry{}, Ledger: &inflight.Tracker{}, Affinity: &affinity.Index{},
 		Outliers: &outlier.Detector{}, Silence: &silence.Detector{}, Queues: &waiting.Queues{},
-		Budget:      &retry.Window{Terms: retry.Terms{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}},
+		Budget:      &retry.FleetBudget{Limits: retry.Limits{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}},
 		Connections: &upstream.Pool{Dialect: testDialect{}},
 		Dialect:     testDialect{}, Cached: warmCache{}, Clock: clock.Boot{}, Log: log.New(io.Discard), Scope: tally.NoopScope,
 	}}
@@ -394,7 +394,7 @@
 		b.do(once, "r1")
 	}()
 	ids := []settings.UpstreamID{"u0", "u1", "u2"}
-	for !b.Silence.Silent(b.Clock.Now(), ids)[0] {
+	for !b.Silence.Unresponsive(b.Clock.Now(), ids)[0] {
 		time.Sleep(10 * time.Millisecond)
 	}
 	for n := range 10 {
--- a/router/internal/direct/place.go
+++ b/router/internal/direct/place.go
@@ -104,7 +104,7 @@
 			Load:           loads[i],
 			Slots:          serving[i].Slots,
 			RendezvousRank: ranks[i],
-			Cold:           serving[i].Cold > 0 && d.Members.Cold(now, ids[i]) > 0,
+			Cold:           serving[i].ColdRemaining > 0 && d.Members.ColdRemaining(now, ids[i]) > 0,
 			Excluded:       excluded[i],
 		}
 		if held != nil {
@@ -117,7 +117,7 @@
 // excluded reports, for each upstream, whether it should get no requests now: it fails more than others, or it answers
 // nothing. Where that leaves none, only silence counts, which never leaves out more than half of them.
 func (d *Dispatcher) excluded(now clock.Instant, ids []settings.UpstreamID) []bool {
-	silent := d.Silence.Silent(now, ids)
+	silent := d.Silence.Unresponsive(now, ids)
 	excluded := d.Outliers.Ejected(now, ids)
 	for i := range excluded {
 		excluded[i] = excluded[i] || silent[i]
--- a/router/internal/directory/watch.go
+++ b/router/internal/directory/watch.go
@@ -73,7 +73,7 @@
 	Source  Source
 	Store   *revision.Store
 	Offer   Offerer
-	Members *members.Book
+	Members *members.Registry
 	Clock   Clock
 	Log     *log.Logger
 	Scope   tally.Scope
@@ -125,14 +125,14 @@
 	known := w.informed != 0
 	w.mu.Unlock()
 	_, fleet := w.Store.Current()
-	reads := !known || fleet == nil || !w.Members.Known() ||
+	reads := !known || fleet == nil || !w.Members.Complete() ||
 		readers.Decide(readers.State{Self: w.Self, Others: w.Others.Pollers(), Age: now.Sub(told)})
 	if reads != w.reads {
 		w.reads = reads
 		w.Log.Info("directory reader", "reads", reads, "told", told != 0, "news_age_ms", newsAge(now, told).Milliseconds())
 	}
 	if !reads {
-		w.Members.Outage(now, false)
+		w.Members.SetOutage(now, false)
 	}
 	return reads
 }
@@ -206,7 +206,7 @@
 // took notes a call that succeeded and returns the present instant.
 func (w *Watch) took() clock.Instant {
 	now := w.Clock.Now()
-	w.Members.Outage(now, false)
+	w.Members.SetOutage(now, false)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.failing {
@@ -234,7 +234,7 @@
 	age := now.Sub(w.informed)
 	w.mu.Unlock()
 	if age > outageTime {
-		w.Members.Outage(now, true)
+		w.Members.SetOutage(now, true)
 		// Entries may have changed and the history may be gone, so everything is read anew.
 		w.whole = false
 	}
--- a/router/internal/engines/inventory.go
+++ b/router/internal/engines/inventory.go
@@ -61,7 +61,7 @@
 	FirstStart bool
 	Asker      Asker
 	Routers    Routers
-	Members    *members.Book
+	Members    *members.Registry
 	// Services returns the services whose upstreams cache prompts, nil while they are not known.
 	Services func() []settings.ServiceName
 	Affinity *affinity.Index
@@ -213,7 +213,7 @@
 
 // known waits until declarations and instances are there.
 func (v *Inventory) known(ctx context.Context) bool {
-	for !v.Members.Known() || v.Services() == nil {
+	for !v.Members.Complete() || v.Services() == nil {
 		if !clock.Sleep(ctx, pollTime) {
 			return false
 		}
--- a/router/internal/engines/inventory_test.go
+++ b/router/internal/engines/inventory_test.go
@@ -46,7 +46,7 @@
 func (r *fakeRouters) CacheQueriedByOthers(id settings.UpstreamID) bool { return r.asked[id] }
 
 func newInventory(address string, asker Asker, routers *fakeRouters) *Inventory {
-	book := &members.Book{}
+	book := &members.Registry{}
 	var list []members.Change
 	for _, id := range []settings.UpstreamID{"e1", "e2", "e3", "e4", "e5", "e6"} {
 		list = append(list, members.Change{ID: id, Revision: 1, Instance: members.Instance{ID: id, Service: "letters"}})
--- a/router/internal/routers/news.go
+++ b/router/internal/routers/news.go
@@ -62,7 +62,7 @@
 	now := s.Clock.Now()
 	state := &peer.RouterState{
 		Router: s.ID, Address: s.Address, Incarnation: s.Incarnation, Cores: s.Cores, Open: s.Ledger.Local(),
-		Signs: s.Silence.Own(now), KnowsHoldings: s.KnowsHoldings(),
+		Signs: s.Silence.Local(now), KnowsHoldings: s.KnowsHoldings(),
 	}
 	state.Inventoried = s.Inventoried()
 	// The age is taken before the changes are, so that it never vouches for changes that are not told.
@@ -75,8 +75,8 @@
 		}
 	}
 	if !r.greeted {
-		state.Listed = s.Members.Known()
-		state.Members = s.Members.Listing()
+		state.Listed = s.Members.Complete()
+		state.Members = s.Members.Snapshot()
 		r.greeted = !asking
 	} else {
 		state.Members = r.members
@@ -103,9 +103,9 @@
 		s.Log.Warn("cached prompts of a router refused", "router", m.Router, "error", err)
 	}
 	s.Affinity.Merge(now, holdings)
-	events := s.Members.Learn(now, m.Members)
-	if m.Listed && !s.Members.Known() {
-		s.Members.MarkKnown()
+	events := s.Members.ApplyRelayed(now, m.Members)
+	if m.Listed && !s.Members.Complete() {
+		s.Members.MarkComplete()
 		s.Log.Info("instances learnt from a router", "router", m.Router, "instances", len(m.Members))
 	}
 	if len(events) > 0 {
--- a/router/internal/routers/service.go
+++ b/router/internal/routers/service.go
@@ -92,7 +92,7 @@
 	Ledger   *inflight.Tracker
 	Silence  *silence.Detector
 	Affinity *affinity.Index
-	Members  *members.Book
+	Members  *members.Registry
 	Clock    Clock
 	Log      *log.Logger
 	Scope    tally.Scope
--- a/router/internal/routers/service_test.go
+++ b/router/internal/routers/service_test.go
@@ -29,7 +29,7 @@
 	endpoint *peer.Endpoint
 	ledger   *inflight.Tracker
 	affinity *affinity.Index
-	members  *members.Book
+	members  *members.Registry
 	stop     func()
 }
 
@@ -51,7 +51,7 @@
 		if seed == "" {
 			seed = address
 		}
-		one := &node{ledger: &inflight.Tracker{}, affinity: &affinity.Index{}, members: &members.Book{}}
+		one := &node{ledger: &inflight.Tracker{}, affinity: &affinity.Index{}, members: &members.Registry{}}
 		id := fmt.Sprintf("router-%d", i)
 		allow, err := peer.ParseNetworks([]string{"127.0.0.0/8"})
 		c.Assert(err, qt.IsNil)
@@ -134,7 +134,7 @@
 	parts := []call.PromptBlock{{ID: 9, Tokens: 1000}}
 	nodes[1].affinity.RecordUse(clock.Boot{}.Now(), parts, "engine-1")
 	change := members.Change{ID: "engine-1", Revision: 7, Instance: members.Instance{ID: "engine-1", Service: "letters"}}
-	nodes[1].members.Learn(clock.Boot{}.Now(), []members.Change{change})
+	nodes[1].members.ApplyRelayed(clock.Boot{}.Now(), []members.Change{change})
 	nodes[1].service.Tell([]members.Change{change})
 	eventually(t, func() bool {
 		return !slices.ContainsFunc(nodes, func(n *node) bool {
@@ -157,7 +157,7 @@
 func TestOnlyARouterThatStartsIsToldAllPrompts(t *testing.T) {
 	c := qt.New(t)
 	s := &Service{
-		ID: "a", Address: "127.0.0.1:1", Ledger: &inflight.Tracker{}, Silence: &silence.Detector{}, Affinity: &affinity.Index{}, Members: &members.Book{},
+		ID: "a", Address: "127.0.0.1:1", Ledger: &inflight.Tracker{}, Silence: &silence.Detector{}, Affinity: &affinity.Index{}, Members: &members.Registry{},
 		Clock: clock.Boot{}, KnowsHoldings: func() bool { return true }, Directory: func() (time.Duration, bool) { return 0, false },
 		Inventoried: func() []settings.UpstreamID { return nil },
 	}
@@ -179,7 +179,7 @@
 func TestRouterThatBecomesKnownLaterHearsTheLatestNews(t *testing.T) {
 	c := qt.New(t)
 	s := &Service{
-		ID: "a", Address: "127.0.0.1:1", Ledger: &inflight.Tracker{}, Silence: &silence.Detector{}, Affinity: &affinity.Index{}, Members: &members.Book{},
+		ID: "a", Address: "127.0.0.1:1", Ledger: &inflight.Tracker{}, Silence: &silence.Detector{}, Affinity: &affinity.Index{}, Members: &members.Registry{},
 		Clock: clock.Boot{}, KnowsHoldings: func() bool { return true }, Directory: func() (time.Duration, bool) { return 0, false },
 		Inventoried: func() []settings.UpstreamID { return nil },
 	}
--- a/router/internal/sides/dispatch.go
+++ b/router/internal/sides/dispatch.go
@@ -41,7 +41,7 @@
 func (d *Dispatcher) Do(ctx context.Context, c *Call, sink Sink) Result {
 	ctx, cancel := context.WithTimeout(ctx, c.Deadline.Sub(d.Clock.Now())+verdictGrace)
 	defer cancel()
-	d.budget.First()
+	d.budget.RecordFirstAttempt()
 	p := &progress{sink: sink, stream: c.Stream}
 	r := d.dispatch(ctx, c, p)
 	if r.Outcome == peer.OutcomeDone {
@@ -137,7 +137,7 @@
 		}
 		// Asking the same side again is safe: it runs a key once and repeats its recorded answer.
 		limit := max(homeTries, c.Profile.Retries)
-		if retries >= limit || !d.budget.Take() {
+		if retries >= limit || !d.budget.Allow() {
 			return Result{Outcome: peer.OutcomeUnknown, Code: CodeUnreachable}
 		}
 		select {
--- a/router/internal/sides/search.go
+++ b/router/internal/sides/search.go
@@ -112,7 +112,7 @@
 	if s.retries >= max(1, s.c.Profile.Retries) {
 		return CodeUnreachable, false
 	}
-	if !s.d.budget.Take() {
+	if !s.d.budget.Allow() {
 		return CodeBudget, false
 	}
 	pause := rand.N(min(maxPause, firstPause<<s.retries))
