--- a/core/configuration/client.go
+++ b/core/configuration/client.go
@@ -28,8 +28,8 @@
 // Changes is the configuration service's answer to a read or watch.
 type Changes struct {
 	Revision settings.Revision `json:"revision"`
-	// Whole says that Documents holds every document and not only the changed ones.
-	Whole     bool                `json:"whole"`
+	// Complete says that Documents holds every document and not only the changed ones.
+	Complete  bool                `json:"whole"`
 	Documents []settings.Document `json:"documents"`
 }
 
@@ -42,8 +42,8 @@
 	VMLeaving VMState = "leaving"
 )
 
-// RoleEntry is the role of the VMs that run routers.
-const RoleEntry = "entry"
+// RoleRouter is the role of the VMs that run routers.
+const RoleRouter = "entry"
 
 // VM is one entry of the VM list.
 type VM struct {
@@ -60,20 +60,20 @@
 
 // Client reads the platform; its zero value needs the base URLs.
 type Client struct {
-	Configuration string
-	VMList        string
-	HTTP          *http.Client
+	ConfigurationURL string
+	VMListURL        string
+	HTTP             *http.Client
 }
 
 // Changes returns what changed after a revision, waiting up to wait for a change.
 func (c *Client) Changes(ctx context.Context, since settings.Revision, wait time.Duration) (revision.Delta, error) {
-	url := fmt.Sprintf("%s/v1/changes?since=%d&wait_ms=%d", c.Configuration, since, wait.Milliseconds())
+	url := fmt.Sprintf("%s/v1/changes?since=%d&wait_ms=%d", c.ConfigurationURL, since, wait.Milliseconds())
 	var answer Changes
 	if err := c.get(ctx, url, &answer); err != nil {
 		return revision.Delta{}, err
 	}
 	d := revision.Delta{From: since, To: revision.Version{Revision: answer.Revision}, Documents: answer.Documents}
-	if answer.Whole {
+	if answer.Complete {
 		d.From = 0
 	}
 	return d, nil
@@ -82,7 +82,7 @@
 // VMs returns the VM list.
 func (c *Client) VMs(ctx context.Context) ([]VM, error) {
 	var answer VMs
-	if err := c.get(ctx, c.VMList+"/v1/vms", &answer); err != nil {
+	if err := c.get(ctx, c.VMListURL+"/v1/vms", &answer); err != nil {
 		return nil, err
 	}
 	return answer.VMs, nil
--- a/core/directory/update.go
+++ b/core/directory/update.go
@@ -13,13 +13,13 @@
 
 // Update is what a read or a watch of the directory returned.
 type Update struct {
-	// At is the position up to which the update is complete.
-	At Position
+	// Position is the position up to which the update is complete.
+	Position Position
 	// Declarations is the newest version, nil where it did not change.
-	Declarations *settings.Fleet
+	Declarations *settings.Declarations
 	Revision     settings.Revision
-	// Whole says that Instances are all there are and not only those that changed.
-	Whole     bool
+	// Complete says that Instances are all there are and not only those that changed.
+	Complete  bool
 	Instances []members.Change
 	// Invalid are the entries that could not be read.
 	Invalid []InvalidEntryError
--- a/core/overlay/neighbours.go
+++ b/core/overlay/neighbours.go
@@ -9,8 +9,8 @@
 // DefaultSize is the number of neighbours kept when Size is zero.
 const DefaultSize = 4
 
-// Neighbours is a random set of addresses that changes slowly; its zero value is empty and ready.
-type Neighbours struct {
+// PeerSet is a random set of addresses that changes slowly; its zero value is empty and ready.
+type PeerSet struct {
 	Size int
 
 	mu     sync.Mutex
@@ -18,7 +18,7 @@
 }
 
 // Choose drops neighbours that are no longer candidates, fills up at random, and returns the set.
-func (n *Neighbours) Choose(candidates []string) []string {
+func (n *PeerSet) Choose(candidates []string) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.chosen = slices.DeleteFunc(n.chosen, func(address string) bool { return !slices.Contains(candidates, address) })
@@ -27,7 +27,7 @@
 }
 
 // fill draws further neighbours until there are enough; the caller holds the lock.
-func (n *Neighbours) fill(candidates []string) {
+func (n *PeerSet) fill(candidates []string) {
 	size := n.Size
 	if size == 0 {
 		size = DefaultSize
@@ -45,7 +45,7 @@
 
 // Pick returns one neighbour at random. It looks only at the one picked, so that the work does not grow with the fleet
 // but for one search.
-func (n *Neighbours) Pick(candidates []string) (string, bool) {
+func (n *PeerSet) Pick(candidates []string) (string, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.fill(candidates)
@@ -60,14 +60,14 @@
 }
 
 // Drop forgets a neighbour that cannot be reached, so that another takes its place.
-func (n *Neighbours) Drop(address string) {
+func (n *PeerSet) Drop(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.chosen = slices.DeleteFunc(n.chosen, func(have string) bool { return have == address })
 }
 
 // Rotate forgets the neighbour that was chosen longest ago.
-func (n *Neighbours) Rotate() {
+func (n *PeerSet) Rotate() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.chosen) > 0 {
@@ -76,7 +76,7 @@
 }
 
 // List returns the present set.
-func (n *Neighbours) List() []string {
+func (n *PeerSet) List() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Clone(n.chosen)
--- a/core/overlay/neighbours_test.go
+++ b/core/overlay/neighbours_test.go
@@ -17,7 +17,7 @@
 
 func TestNeighboursAreFewAndChangeWithTheCandidates(t *testing.T) {
 	c := qt.New(t)
-	n := &Neighbours{Size: 5}
+	n := &PeerSet{Size: 5}
 	all := candidates(100)
 	c.Assert(len(n.Choose(all)) <= 5, qt.IsTrue)
 	for range 200 {
--- a/core/readers/decide.go
+++ b/core/readers/decide.go
@@ -23,8 +23,8 @@
 // key places the readers among the routers by rendezvous hashing.
 const key = 0x646972
 
-// Router is a router that can read the directory.
-type Router struct {
+// Candidate is a router that can read the directory.
+type Candidate struct {
 	Address string
 	// Cores is the processor that its VM gives it, in cores; 0 where it is not known.
 	Cores float64
@@ -33,17 +33,17 @@
 // State is what the decision depends on.
 type State struct {
 	// Self is this router, Others are those that can be reached and can read.
-	Self   Router
-	Others []Router
-	// Age is the age of the newest news that others have told.
-	Age time.Duration
+	Self   Candidate
+	Others []Candidate
+	// UpdateAge is the age of the newest news that others have told.
+	UpdateAge time.Duration
 }
 
-// Decide reports whether a router reads the directory itself. It answers fleets whose routers together would call the
+// Selected reports whether a router reads the directory itself. It answers fleets whose routers together would call the
 // directory more often than it serves: the calls stay the same however many routers there are. And it answers versions of
 // the declarations that are large for the smallest VMs of the fleet: capable ones take them in first.
-func Decide(s State) bool {
-	if s.Age > maxAge {
+func Selected(s State) bool {
+	if s.UpdateAge > maxAge {
 		return true
 	}
 	most := s.Self.Cores
--- a/core/readers/decide_test.go
+++ b/core/readers/decide_test.go
@@ -9,20 +9,20 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func fleet(n int) []Router {
-	var list []Router
+func fleet(n int) []Candidate {
+	var list []Candidate
 	for i := range n {
-		list = append(list, Router{Address: fmt.Sprintf("10.0.0.%d:7400", i)})
+		list = append(list, Candidate{Address: fmt.Sprintf("10.0.0.%d:7400", i)})
 	}
 	return list
 }
 
 // readers returns the routers that read when all see the same fleet.
-func readers(all []Router, age time.Duration) []Router {
-	var list []Router
+func readers(all []Candidate, age time.Duration) []Candidate {
+	var list []Candidate
 	for i, self := range all {
 		others := slices.Delete(slices.Clone(all), i, i+1)
-		if Decide(State{Self: self, Others: others, Age: age}) {
+		if Selected(State{Self: self, Others: others, UpdateAge: age}) {
 			list = append(list, self)
 		}
 	}
@@ -41,7 +41,7 @@
 	c := qt.New(t)
 	all := fleet(5)
 	first := readers(all, 0)
-	left := slices.DeleteFunc(slices.Clone(all), func(r Router) bool { return r == first[0] })
+	left := slices.DeleteFunc(slices.Clone(all), func(r Candidate) bool { return r == first[0] })
 	second := readers(left, 0)
 	c.Assert(second, qt.HasLen, count)
 	c.Assert(slices.Contains(second, first[1]), qt.IsTrue)
@@ -66,7 +66,7 @@
 	for _, r := range chosen {
 		c.Assert(r.Cores, qt.Equals, 0.8)
 	}
-	small := slices.DeleteFunc(slices.Clone(all), func(r Router) bool { return r.Cores > 0.5 })
+	small := slices.DeleteFunc(slices.Clone(all), func(r Candidate) bool { return r.Cores > 0.5 })
 	c.Assert(readers(small, time.Second), qt.HasLen, count)
 	c.Assert(readers(all, maxAge+1), qt.HasLen, 28)
 }
--- a/core/recovery/owner.go
+++ b/core/recovery/owner.go
@@ -12,9 +12,9 @@
 
 // Times after which engines are taken over.
 const (
-	// TakeoverTime is how long an engine is left to the router that the settings alone choose for it. Routers of one
+	// TakeoverDelay is how long an engine is left to the router that the settings alone choose for it. Routers of one
 	// fleet start within 0.3 s of each other, and one that lives has been met soon after.
-	TakeoverTime = 500 * time.Millisecond
+	TakeoverDelay = 500 * time.Millisecond
 	// AloneTime is after how long the routers that the settings do not name ask, where they have met none that is named.
 	AloneTime = 1500 * time.Millisecond
 )
@@ -23,27 +23,27 @@
 type State struct {
 	// Self is this router, Named are the routers that the settings of all routers name, Met those that were reached, all
 	// by address.
-	Self  string
-	Named []string
-	Met   []string
+	Self      string
+	Seeds     []string
+	Reachable []string
 	// Elapsed is the time since this router knew the engines.
 	Elapsed time.Duration
 }
 
-// Asks reports whether it falls to this router to ask an engine. It answers fleets whose routers all start at once: they
+// Assigned reports whether it falls to this router to ask an engine. It answers fleets whose routers all start at once: they
 // do not know each other yet, so only what their settings name can divide the engines among them. Were each to ask on its
 // own, every engine would be asked once for each router, just when the clients come back.
-func Asks(s State, engine settings.UpstreamID) bool {
-	if s.Elapsed < TakeoverTime {
-		return owner(s.Named, engine) == s.Self
+func Assigned(s State, engine settings.UpstreamID) bool {
+	if s.Elapsed < TakeoverDelay {
+		return owner(s.Seeds, engine) == s.Self
 	}
-	living := slices.DeleteFunc(slices.Clone(s.Named), func(address string) bool {
-		return address != s.Self && !slices.Contains(s.Met, address)
+	living := slices.DeleteFunc(slices.Clone(s.Seeds), func(address string) bool {
+		return address != s.Self && !slices.Contains(s.Reachable, address)
 	})
 	if len(living) > 0 {
 		return owner(living, engine) == s.Self
 	}
-	return s.Elapsed >= AloneTime && owner(append([]string{s.Self}, s.Met...), engine) == s.Self
+	return s.Elapsed >= AloneTime && owner(append([]string{s.Self}, s.Reachable...), engine) == s.Self
 }
 
 // owner is the first router for an engine by rendezvous hashing.
--- a/core/recovery/owner_test.go
+++ b/core/recovery/owner_test.go
@@ -25,7 +25,7 @@
 		}
 		for e := range 52 {
 			id := settings.UpstreamID(fmt.Sprintf("e%02d", e))
-			if Asks(State{Self: self, Named: named, Met: met(self), Elapsed: elapsed}, id) {
+			if Assigned(State{Self: self, Seeds: named, Reachable: met(self), Elapsed: elapsed}, id) {
 				counts[id]++
 			}
 		}
@@ -45,8 +45,8 @@
 		all     bool
 	}{
 		{"no router has met another", nobody, nil, 0, true},
-		{"the share of a named router that is down is taken over", living, []string{"r00"}, TakeoverTime, true},
-		{"it is left to that router before", living, []string{"r00"}, TakeoverTime - 1, false},
+		{"the share of a named router that is down is taken over", living, []string{"r00"}, TakeoverDelay, true},
+		{"it is left to that router before", living, []string{"r00"}, TakeoverDelay - 1, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -60,7 +60,7 @@
 	}
 	t.Run("every engine is asked where all named routers are down", func(t *testing.T) {
 		c := qt.New(t)
-		c.Assert(asked(all, []string{"r00", "r09", "r18"}, TakeoverTime), qt.HasLen, 0)
+		c.Assert(asked(all, []string{"r00", "r09", "r18"}, TakeoverDelay), qt.HasLen, 0)
 		c.Assert(asked(all, []string{"r00", "r09", "r18"}, AloneTime), qt.HasLen, 52)
 	})
 }
--- a/core/revision/store.go
+++ b/core/revision/store.go
@@ -74,7 +74,7 @@
 	compacted settings.Revision
 	// sum is the exclusive or of the documents' hashes.
 	sum      uint64
-	fleet    *settings.Fleet
+	fleet    *settings.Declarations
 	refused  Version
 	reason   string
 	diverged bool
@@ -84,18 +84,18 @@
 // Change is an accepted version and the way to it from the one before.
 type Change struct {
 	Version Version
-	Fleet   *settings.Fleet
-	// Exact says that no version lies between this one and the one before it here.
-	Exact bool
-	// Whole says that Documents are all there are and not only those that changed.
-	Whole bool
+	Fleet   *settings.Declarations
+	// Consecutive says that no version lies between this one and the one before it here.
+	Consecutive bool
+	// Complete says that Documents are all there are and not only those that changed.
+	Complete bool
 	// Documents are those that changed on the way.
 	Documents []settings.Document
 }
 
 // UpstreamsChanged reports whether the set of upstreams of any service can have changed.
 func (c Change) UpstreamsChanged() bool {
-	if c.Whole {
+	if c.Complete {
 		return true
 	}
 	return slices.ContainsFunc(c.Documents, func(d settings.Document) bool {
@@ -109,12 +109,12 @@
 	defer s.mu.Unlock()
 	s.watchers = append(s.watchers, f)
 	if s.fleet != nil {
-		f(Change{Version: s.version, Fleet: s.fleet, Whole: true})
+		f(Change{Version: s.version, Fleet: s.fleet, Complete: true})
 	}
 }
 
 // Current returns the version in force; the declarations are nil while there is none.
-func (s *Store) Current() (Version, *settings.Fleet) {
+func (s *Store) Current() (Version, *settings.Declarations) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version, s.fleet
@@ -167,7 +167,7 @@
 	d.To.Digest = sum
 	base := s.fleet
 	if d.From == 0 || base == nil {
-		base = &settings.Fleet{}
+		base = &settings.Declarations{}
 	}
 	fleet, err := base.With(changed)
 	if err != nil {
@@ -229,7 +229,7 @@
 	return digestOf(sum)
 }
 
-func (s *Store) accept(d Delta, changed []settings.Document, fleet *settings.Fleet) {
+func (s *Store) accept(d Delta, changed []settings.Document, fleet *settings.Declarations) {
 	if d.From == 0 {
 		// A whole version names no deletions, so no delta may start before it.
 		s.compacted = d.To.Revision
@@ -251,11 +251,11 @@
 		s.compacted = d.To.Revision
 	}
 	change := Change{
-		Version:   d.To,
-		Fleet:     fleet,
-		Exact:     d.From > 0 && d.To.Revision == s.version.Revision+1,
-		Whole:     d.From == 0,
-		Documents: changed,
+		Version:     d.To,
+		Fleet:       fleet,
+		Consecutive: d.From > 0 && d.To.Revision == s.version.Revision+1,
+		Complete:    d.From == 0,
+		Documents:   changed,
 	}
 	s.fleet = fleet
 	s.version = d.To
--- a/core/routing/table.go
+++ b/core/routing/table.go
@@ -20,13 +20,13 @@
 	Revision settings.Revision
 	Limits   settings.ClientLimits
 
-	fleet *settings.Fleet
+	fleet *settings.Declarations
 	hosts map[string][]Match
 	teams map[settings.KeyDigest]settings.TeamID
 }
 
 // New returns the index of a version.
-func New(fleet *settings.Fleet, r settings.Revision) *Table {
+func New(fleet *settings.Declarations, r settings.Revision) *Table {
 	t := &Table{
 		Revision: r,
 		Limits:   fleet.ClientLimits(),
@@ -76,8 +76,8 @@
 	return id, ok
 }
 
-// Keyed reports whether clients need a key on routes that are not public.
-func (t *Table) Keyed() bool { return len(t.fleet.Teams) > 0 }
+// KeyRequired reports whether clients need a key on routes that are not public.
+func (t *Table) KeyRequired() bool { return len(t.fleet.Teams) > 0 }
 
 // Rank returns the urgency of a team's request on a route, where 0 is the most urgent.
 func (t *Table) Rank(team settings.TeamID, route *settings.Route) int {
--- a/core/routing/table_test.go
+++ b/core/routing/table_test.go
@@ -11,7 +11,7 @@
 func table() *Table {
 	rank := 0
 	desk := []settings.Backend{{Service: "desk", Weight: 1}}
-	return New(&settings.Fleet{
+	return New(&settings.Declarations{
 		Routes: map[settings.RouteName]settings.Route{
 			"whole": {Host: "a.example", PathPrefix: "/x/", Backends: desk, Rank: 2},
 			"part":  {Host: "a.example", PathPrefix: "/x/y/", Backends: desk},
--- a/core/settings/defaults.go
+++ b/core/settings/defaults.go
@@ -18,7 +18,7 @@
 )
 
 // Default fills every declaration that the operators left out.
-func (f *Fleet) Default() {
+func (f *Declarations) Default() {
 	for name, p := range f.Profiles {
 		f.Profiles[name] = defaultProfile(p)
 	}
--- a/core/settings/document.go
+++ b/core/settings/document.go
@@ -49,10 +49,10 @@
 func IsService(key DocumentKey) bool { return strings.HasPrefix(string(key), kindServices+"/") }
 
 // Documents splits a set of declarations into its documents, sorted by key, in YAML for people to read.
-func (f *Fleet) Documents() ([]Document, error) { return f.documents(yaml.Marshal) }
+func (f *Declarations) Documents() ([]Document, error) { return f.documents(yaml.Marshal) }
 
 // documents splits a set of declarations into its documents, sorted by key.
-func (f *Fleet) documents(encode func(any) ([]byte, error)) ([]Document, error) {
+func (f *Declarations) documents(encode func(any) ([]byte, error)) ([]Document, error) {
 	var docs []Document
 	var err error
 	add := func(kind, name string, value any) {
@@ -83,13 +83,13 @@
 }
 
 // FromDocuments assembles, defaults and validates a set of declarations.
-func FromDocuments(docs []Document) (*Fleet, error) {
+func FromDocuments(docs []Document) (*Declarations, error) {
 	return newFleet().With(docs)
 }
 
 // With returns the declarations after a change, and validates what the change can have touched. The declarations that
 // did not change are taken over as they are, so that the work grows with the change and hardly with the fleet.
-func (f *Fleet) With(docs []Document) (*Fleet, error) {
+func (f *Declarations) With(docs []Document) (*Declarations, error) {
 	next := f.clone()
 	var problems Problems
 	for _, d := range docs {
@@ -104,7 +104,7 @@
 	return next, nil
 }
 
-func (f *Fleet) clone() *Fleet {
+func (f *Declarations) clone() *Declarations {
 	next := newFleet()
 	maps.Copy(next.Profiles, f.Profiles)
 	maps.Copy(next.Services, f.Services)
@@ -115,8 +115,8 @@
 	return next
 }
 
-func newFleet() *Fleet {
-	return &Fleet{
+func newFleet() *Declarations {
+	return &Declarations{
 		Profiles:  make(map[ProfileName]Profile),
 		Services:  make(map[ServiceName]Service),
 		Upstreams: make(map[UpstreamID]Upstream),
@@ -127,7 +127,7 @@
 }
 
 // apply adds, replaces or removes one declaration.
-func (f *Fleet) apply(d Document) error {
+func (f *Declarations) apply(d Document) error {
 	kind, name, ok := strings.Cut(string(d.Key), "/")
 	if !ok || name == "" {
 		return errors.Newf("key %q is not kind/name", string(d.Key))
@@ -184,7 +184,7 @@
 
 // Changes returns the documents that lead from one set of declarations to the next, stamped with the revision. They are
 // in JSON, which is read many times faster than YAML when a router starts.
-func Changes(from, to *Fleet, r Revision) ([]Document, error) {
+func Changes(from, to *Declarations, r Revision) ([]Document, error) {
 	if from == nil {
 		from = newFleet()
 	}
@@ -203,7 +203,7 @@
 }
 
 // diff returns the declarations that are new or different in to, and the keys of those that it lacks.
-func diff(from, to *Fleet) (*Fleet, []DocumentKey) {
+func diff(from, to *Declarations) (*Declarations, []DocumentKey) {
 	changed := newFleet()
 	var removed []DocumentKey
 	removed = diffKind(removed, kindProfiles, from.Profiles, to.Profiles, changed.Profiles)
--- a/core/settings/fleet.go
+++ b/core/settings/fleet.go
@@ -83,8 +83,8 @@
 	Rank *int `json:"rank,omitempty" yaml:"rank,omitempty"`
 }
 
-// Fleet is one whole set of declarations.
-type Fleet struct {
+// Declarations is one whole set of declarations.
+type Declarations struct {
 	Profiles  map[ProfileName]Profile `yaml:"profiles"`
 	Services  map[ServiceName]Service `yaml:"services"`
 	Upstreams map[UpstreamID]Upstream `yaml:"upstreams"`
@@ -101,21 +101,21 @@
 const ClientLimitsName LimitsName = "clients"
 
 // ClientLimits returns the limits in force.
-func (f *Fleet) ClientLimits() ClientLimits {
+func (f *Declarations) ClientLimits() ClientLimits {
 	return defaultClientLimits(f.Limits[ClientLimitsName])
 }
 
 // UpstreamsOf returns the declared upstreams of a service that are not destroyed, in no particular order.
-func (f *Fleet) UpstreamsOf(name ServiceName) []UpstreamID {
+func (f *Declarations) UpstreamsOf(name ServiceName) []UpstreamID {
 	return f.upstreamsOf(name, false)
 }
 
 // DestroyedOf returns the declared upstreams of a service whose VMs no longer exist.
-func (f *Fleet) DestroyedOf(name ServiceName) []UpstreamID {
+func (f *Declarations) DestroyedOf(name ServiceName) []UpstreamID {
 	return f.upstreamsOf(name, true)
 }
 
-func (f *Fleet) upstreamsOf(name ServiceName, destroyed bool) []UpstreamID {
+func (f *Declarations) upstreamsOf(name ServiceName, destroyed bool) []UpstreamID {
 	var ids []UpstreamID
 	for id, u := range f.Upstreams {
 		if u.Service == name && u.Destroyed == destroyed {
--- a/core/settings/fleet_test.go
+++ b/core/settings/fleet_test.go
@@ -88,7 +88,7 @@
 func TestChangesLeadToTheNextVersion(t *testing.T) {
 	c := qt.New(t)
 	rank := 3
-	first := &Fleet{
+	first := &Declarations{
 		Services: map[ServiceName]Service{"desk": {Kind: KindPlain}, "letters": {Kind: KindModel, Model: "m", MaxRunning: 64}},
 		Teams:    map[TeamID]Team{"parents": {Keys: []KeyDigest{DigestKey("k1")}, Rank: &rank}, "heads": {}},
 		Routes: map[RouteName]Route{
--- a/core/settings/load.go
+++ b/core/settings/load.go
@@ -18,8 +18,8 @@
 // optionalFiles hold declarations that only some fleets have.
 var optionalFiles = []string{kindRoutes, kindLimits}
 
-// LoadFleet reads the declarations below dir and returns every fault at once as Problems.
-func LoadFleet(dir string) (*Fleet, error) {
+// LoadDeclarations reads the declarations below dir and returns every fault at once as Problems.
+func LoadDeclarations(dir string) (*Declarations, error) {
 	f := newFleet()
 	var problems Problems
 	lines := make(map[string]int)
@@ -42,7 +42,7 @@
 	return f, nil
 }
 
-func (f *Fleet) loadFile(dir, kind string, lines map[string]int) (Problems, error) {
+func (f *Declarations) loadFile(dir, kind string, lines map[string]int) (Problems, error) {
 	path := filepath.Join(dir, kind+".yaml")
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -62,7 +62,7 @@
 	return decodeProblems(path, decodeStrict(text, f.section(kind))), nil
 }
 
-func (f *Fleet) section(kind string) any {
+func (f *Declarations) section(kind string) any {
 	switch kind {
 	case kindProfiles:
 		return &f.Profiles
--- a/core/settings/process.go
+++ b/core/settings/process.go
@@ -48,12 +48,12 @@
 	MemoryMB int64 `yaml:"memory_mb"`
 	// Cores is the processor that the VM gives this process, in cores, 0 where it is not known.
 	Cores float64 `yaml:"cores"`
-	// Repeats bounds the repeats of all routers together.
-	Repeats Repeats `yaml:"repeats"`
+	// RetryBudget bounds the repeats of all routers together.
+	RetryBudget RetryBudget `yaml:"repeats"`
 }
 
-// Repeats bounds how many requests the routers send once more, for each service.
-type Repeats struct {
+// RetryBudget bounds how many requests the routers send once more, for each service.
+type RetryBudget struct {
 	// Ratio is the number of repeats for each request, Slack the number besides, both within Window.
 	Ratio  float64       `yaml:"ratio"`
 	Slack  float64       `yaml:"slack"`
@@ -135,9 +135,9 @@
 	setDefault(&r.Limits.IdleTime, DefaultIdleTime)
 	setDefault(&r.Limits.OpenCalls, DefaultOpenCalls)
 	if r.Direct != nil {
-		setDefault(&r.Direct.Repeats.Ratio, DefaultRepeatRatio)
-		setDefault(&r.Direct.Repeats.Slack, DefaultRepeatSlack)
-		setDefault(&r.Direct.Repeats.Window, DefaultRepeatWindow)
+		setDefault(&r.Direct.RetryBudget.Ratio, DefaultRepeatRatio)
+		setDefault(&r.Direct.RetryBudget.Slack, DefaultRepeatSlack)
+		setDefault(&r.Direct.RetryBudget.Window, DefaultRepeatWindow)
 	}
 	if len(r.Allow) == 0 {
 		r.Allow = DefaultAllow
@@ -242,9 +242,9 @@
 func (c *processChecker) direct(d *Direct) {
 	c.url("direct.directory", d.Directory)
 	c.address("direct.readiness", d.Readiness)
-	c.positive("direct.repeats.ratio", d.Repeats.Ratio > 0, d.Repeats.Ratio)
-	c.positive("direct.repeats.slack", d.Repeats.Slack > 0, d.Repeats.Slack)
-	c.positive("direct.repeats.window", d.Repeats.Window > 0, d.Repeats.Window)
+	c.positive("direct.repeats.ratio", d.RetryBudget.Ratio > 0, d.RetryBudget.Ratio)
+	c.positive("direct.repeats.slack", d.RetryBudget.Slack > 0, d.RetryBudget.Slack)
+	c.positive("direct.repeats.window", d.RetryBudget.Window > 0, d.RetryBudget.Window)
 }
 
 // tls refuses settings that name some of the files only.
--- a/core/settings/validate.go
+++ b/core/settings/validate.go
@@ -47,7 +47,7 @@
 }
 
 // Validate returns every fault of the declarations, in a steady order.
-func (f *Fleet) Validate() Problems {
+func (f *Declarations) Validate() Problems {
 	c := &checker{}
 	for name, p := range f.Profiles {
 		f.validateProfile(c, string(name), p)
@@ -72,7 +72,7 @@
 }
 
 // validateChange returns the faults that a change can have brought into declarations without fault.
-func (f *Fleet) validateChange(docs []Document) Problems {
+func (f *Declarations) validateChange(docs []Document) Problems {
 	c := &checker{}
 	upstreams := false
 	for _, d := range docs {
@@ -94,7 +94,7 @@
 	return c.sorted()
 }
 
-func (f *Fleet) validateOne(c *checker, kind, name string) {
+func (f *Declarations) validateOne(c *checker, kind, name string) {
 	switch kind {
 	case kindProfiles:
 		f.validateProfile(c, name, f.Profiles[ProfileName(name)])
@@ -120,7 +120,7 @@
 	c.check(t.MaxOpen >= 1, kindTeams, id, "max_open", t.MaxOpen, "at least 1")
 }
 
-func (f *Fleet) validateProfile(c *checker, name string, p Profile) {
+func (f *Declarations) validateProfile(c *checker, name string, p Profile) {
 	const kind = kindProfiles
 	c.check(namePattern.MatchString(name), kind, name, "", name, nameRule)
 	_, known := f.Services[p.Service]
@@ -146,7 +146,7 @@
 	c.check(s.CacheTokens > 0, kind, name, "cache_tokens", s.CacheTokens, "more than 0")
 }
 
-func (f *Fleet) validateUpstream(c *checker, id string, u Upstream) {
+func (f *Declarations) validateUpstream(c *checker, id string, u Upstream) {
 	const kind = kindUpstreams
 	c.check(namePattern.MatchString(id), kind, id, "", id, nameRule)
 	_, known := f.Services[u.Service]
@@ -157,7 +157,7 @@
 }
 
 // validateAddresses refuses two upstreams behind one side address; the one whose name comes later is at fault.
-func (f *Fleet) validateAddresses(c *checker) {
+func (f *Declarations) validateAddresses(c *checker) {
 	first := make(map[string]UpstreamID, len(f.Upstreams))
 	for id, u := range f.Upstreams {
 		if u.Destroyed {
@@ -175,7 +175,7 @@
 
 var routeKinds = []RouteKind{RouteIdempotent, RouteOnce, RouteStream}
 
-func (f *Fleet) validateRoute(c *checker, name string, r Route) {
+func (f *Declarations) validateRoute(c *checker, name string, r Route) {
 	const kind = kindRoutes
 	c.check(namePattern.MatchString(name), kind, name, "", name, nameRule)
 	c.check(r.Host != "", kind, name, "host", quote(r.Host), "a host name")
--- a/core/spread/spread.go
+++ b/core/spread/spread.go
@@ -38,7 +38,7 @@
 	// Candidates returns the addresses of processes that may be neighbours.
 	Candidates func() []string
 
-	neighbours overlay.Neighbours
+	neighbours overlay.PeerSet
 	mu         sync.Mutex
 	// callers are the links over which other processes compared their versions with this one, the latest last.
 	callers []*peer.Link
@@ -250,7 +250,7 @@
 }
 
 // SideAddresses returns the peer addresses of the declared sides.
-func SideAddresses(f *settings.Fleet) []string {
+func SideAddresses(f *settings.Declarations) []string {
 	if f == nil {
 		return nil
 	}
--- a/rattantrack/internal/cmd/check.go
+++ b/rattantrack/internal/cmd/check.go
@@ -20,7 +20,7 @@
 
 // Run checks the declarations.
 func (c *checkCmd) Run(o *output) error {
-	f, err := settings.LoadFleet(c.Dir)
+	f, err := settings.LoadDeclarations(c.Dir)
 	if err != nil {
 		return err
 	}
--- a/rattantrack/internal/cmd/diff.go
+++ b/rattantrack/internal/cmd/diff.go
@@ -44,7 +44,7 @@
 }
 
 func documents(dir string) ([]settings.Document, error) {
-	f, err := settings.LoadFleet(dir)
+	f, err := settings.LoadDeclarations(dir)
 	if err != nil {
 		return nil, err
 	}
--- a/rattantrack/internal/cmd/explain.go
+++ b/rattantrack/internal/cmd/explain.go
@@ -22,7 +22,7 @@
 
 // Run explains a profile.
 func (c *explainCmd) Run(o *output) error {
-	f, err := settings.LoadFleet(c.Dir)
+	f, err := settings.LoadDeclarations(c.Dir)
 	if err != nil {
 		return err
 	}
@@ -35,7 +35,7 @@
 	return o.print(e, strings.Join(e.Sentences, "\n")+"\n")
 }
 
-func sentences(f *settings.Fleet, name settings.ProfileName, p settings.Profile) []string {
+func sentences(f *settings.Declarations, name settings.ProfileName, p settings.Profile) []string {
 	s := f.Services[p.Service]
 	upstreams := len(f.UpstreamsOf(p.Service))
 	list := []string{
--- a/rattantrack/internal/cmd/profiles.go
+++ b/rattantrack/internal/cmd/profiles.go
@@ -15,7 +15,7 @@
 
 // Run lists the profiles.
 func (c *profilesCmd) Run(o *output) error {
-	f, err := settings.LoadFleet(c.Dir)
+	f, err := settings.LoadDeclarations(c.Dir)
 	if err != nil {
 		return err
 	}
--- a/router/internal/app/app.go
+++ b/router/internal/app/app.go
@@ -65,7 +65,7 @@
 		Scope:        scope,
 		Identity:     forCallers,
 	}
-	client := &vmservices.Client{Configuration: cfg.Configuration, VMList: cfg.VMList, HTTP: &http.Client{}}
+	client := &vmservices.Client{ConfigurationURL: cfg.Configuration, VMListURL: cfg.VMList, HTTP: &http.Client{}}
 	r.watch = &configuration.Watch{
 		Reader: client,
 		Store:  r.store,
--- a/router/internal/app/direct.go
+++ b/router/internal/app/direct.go
@@ -139,7 +139,7 @@
 	}
 	d.spread = &spread.Service{Store: d.store, Dialer: d.endpoint, Log: d.log, Candidates: d.routers.Known}
 	d.watch = &directory.Watch{
-		Self:     readers.Router{Address: d.cfg.Advertise, Cores: d.cfg.Direct.Cores},
+		Self:     readers.Candidate{Address: d.cfg.Advertise, Cores: d.cfg.Direct.Cores},
 		Others:   d.routers,
 		Source:   &platform.Store{URL: d.cfg.Direct.Directory, HTTP: directoryClient()},
 		Store:    d.store,
@@ -164,7 +164,7 @@
 		Log:        d.log,
 		Scope:      scope,
 	}
-	repeats := d.cfg.Direct.Repeats
+	repeats := d.cfg.Direct.RetryBudget
 	dispatcher := &direct.Dispatcher{
 		DataCentre:  d.cfg.DataCentre,
 		Members:     d.members,
--- a/router/internal/caller/server.go
+++ b/router/internal/caller/server.go
@@ -28,7 +28,7 @@
 
 // Declarations gives the declarations in force.
 type Declarations interface {
-	Fleet() (*settings.Fleet, settings.Revision)
+	Fleet() (*settings.Declarations, settings.Revision)
 }
 
 // Clock gives the present instant.
--- a/router/internal/client/serve.go
+++ b/router/internal/client/serve.go
@@ -91,7 +91,7 @@
 
 // authorize finds the team of the request's key.
 func authorize(table *routing.Table, r *direct.Request, route *settings.Route) *refusal {
-	if route.Public || !table.Keyed() {
+	if route.Public || !table.KeyRequired() {
 		return nil
 	}
 	team, ok := table.Team(r.APIKey)
--- a/router/internal/configuration/watch.go
+++ b/router/internal/configuration/watch.go
@@ -125,7 +125,7 @@
 func (w *Watch) notify(ctx context.Context, vms []configuration.VM) {
 	share := noticesPerSecond * w.vmInterval().Seconds() / float64(max(1, len(w.View.Routers())))
 	for _, vm := range vms {
-		if vm.State != configuration.VMLeaving || vm.Role == configuration.RoleEntry {
+		if vm.State != configuration.VMLeaving || vm.Role == configuration.RoleRouter {
 			continue
 		}
 		if rand.Float64() < share {
--- a/router/internal/directory/watch.go
+++ b/router/internal/directory/watch.go
@@ -60,7 +60,7 @@
 // Others knows what the other routers tell of the directory.
 type Others interface {
 	// Pollers returns the routers that can read it.
-	Pollers() []readers.Router
+	Pollers() []readers.Candidate
 	// LastDirectoryRead returns when, at the latest, one of them knew the whole directory.
 	LastDirectoryRead() clock.Instant
 }
@@ -68,7 +68,7 @@
 // Watch follows the directory and keeps members and declarations in step.
 type Watch struct {
 	// Self is this router.
-	Self    readers.Router
+	Self    readers.Candidate
 	Others  Others
 	Source  Source
 	Store   *revision.Store
@@ -126,7 +126,7 @@
 	w.mu.Unlock()
 	_, fleet := w.Store.Current()
 	reads := !known || fleet == nil || !w.Members.Complete() ||
-		readers.Decide(readers.State{Self: w.Self, Others: w.Others.Pollers(), Age: now.Sub(told)})
+		readers.Selected(readers.State{Self: w.Self, Others: w.Others.Pollers(), UpdateAge: now.Sub(told)})
 	if reads != w.reads {
 		w.reads = reads
 		w.Log.Info("directory reader", "reads", reads, "told", told != 0, "news_age_ms", newsAge(now, told).Milliseconds())
@@ -189,7 +189,7 @@
 	w.read = began
 	w.informed = max(w.informed, began)
 	w.mu.Unlock()
-	if !u.Whole {
+	if !u.Complete {
 		clock.Sleep(ctx, pauseTime)
 	}
 }
@@ -255,13 +255,13 @@
 	}
 	now := w.Clock.Now()
 	var events []members.Event
-	if u.Whole {
-		events = w.Members.Replace(now, members.Revision(u.At), u.Instances)
+	if u.Complete {
+		events = w.Members.Replace(now, members.Revision(u.Position), u.Instances)
 		w.whole = true
 	} else {
 		events = w.Members.Apply(now, u.Instances)
 	}
-	w.at = u.At
+	w.at = u.Position
 	if len(events) > 0 {
 		w.OnEvents("directory", events)
 		w.Tell(changesOf(events, u.Instances))
@@ -295,7 +295,7 @@
 }
 
 // offer gives a version to the store, as the change from the version in force.
-func (w *Watch) offer(next *settings.Fleet, r settings.Revision) {
+func (w *Watch) offer(next *settings.Declarations, r settings.Revision) {
 	for range 2 {
 		have, fleet := w.Store.Current()
 		if r <= have.Revision || w.Store.Refused(r) {
--- a/router/internal/engines/inventory.go
+++ b/router/internal/engines/inventory.go
@@ -166,14 +166,14 @@
 
 // ask begins to ask the engines that fall to this router, and reports whether all engines have been asked by somebody.
 func (v *Inventory) ask(ctx context.Context, elapsed time.Duration, asking chan struct{}, wg *sync.WaitGroup) bool {
-	state := recovery.State{Self: v.Address, Named: v.Named, Met: v.Routers.Reachable(), Elapsed: elapsed}
+	state := recovery.State{Self: v.Address, Seeds: v.Named, Reachable: v.Routers.Reachable(), Elapsed: elapsed}
 	all := true
 	for _, i := range v.engines() {
 		if v.Routers.CacheQueriedByOthers(i.ID) || v.answered(i.ID) {
 			continue
 		}
 		all = false
-		if !recovery.Asks(state, i.ID) || !v.begin(i.ID, asking) {
+		if !recovery.Assigned(state, i.ID) || !v.begin(i.ID, asking) {
 			continue
 		}
 		wg.Add(1)
--- a/router/internal/routers/view.go
+++ b/router/internal/routers/view.go
@@ -40,13 +40,13 @@
 }
 
 // Pollers returns the other routers that answered last and can read the directory.
-func (s *Service) Pollers() []readers.Router {
+func (s *Service) Pollers() []readers.Candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var list []readers.Router
+	var list []readers.Candidate
 	for address, r := range s.routers {
 		if address != s.Address && r.alive() && !r.failing {
-			list = append(list, readers.Router{Address: address, Cores: r.cores})
+			list = append(list, readers.Candidate{Address: address, Cores: r.cores})
 		}
 	}
 	return list
--- a/router/internal/sides/view.go
+++ b/router/internal/sides/view.go
@@ -39,7 +39,7 @@
 	Clock Clock
 
 	mu       sync.Mutex
-	fleet    *settings.Fleet
+	fleet    *settings.Declarations
 	version  revision.Version
 	leaving  map[string]bool
 	avoided  map[settings.UpstreamID]avoidance
@@ -81,7 +81,7 @@
 			v.leaving[vm.Address] = true
 			continue
 		}
-		if vm.Role == configuration.RoleEntry {
+		if vm.Role == configuration.RoleRouter {
 			v.routers = append(v.routers, vm.Address)
 		}
 	}
@@ -96,7 +96,7 @@
 }
 
 // Fleet returns the declarations in force, nil while there are none.
-func (v *View) Fleet() (*settings.Fleet, settings.Revision) {
+func (v *View) Fleet() (*settings.Declarations, settings.Revision) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet, v.version.Revision
--- a/side/internal/router/door.go
+++ b/side/internal/router/door.go
@@ -52,7 +52,7 @@
 	Prefixes Fetcher
 
 	mu       sync.Mutex
-	fleet    *settings.Fleet
+	fleet    *settings.Declarations
 	service  settings.Service
 	name     settings.ServiceName
 	revision settings.Revision
@@ -112,12 +112,12 @@
 }
 
 // homesChange tells the homes what changed of this service's declared upstreams.
-func (d *Door) homesChange(before *settings.Fleet, c revision.Change) outcome.Change {
+func (d *Door) homesChange(before *settings.Declarations, c revision.Change) outcome.Change {
 	change := outcome.Change{
 		Revision:  c.Version.Revision,
 		Set:       d.set,
 		Destroyed: c.Fleet.DestroyedOf(d.name),
-		Exact:     c.Exact,
+		Exact:     c.Consecutive,
 	}
 	for _, doc := range c.Documents {
 		id, ok := settings.UpstreamOf(doc.Key)
@@ -135,7 +135,7 @@
 }
 
 // serviceOf returns the service that an upstream belongs or belonged to, or "" when that is not known.
-func (d *Door) serviceOf(id settings.UpstreamID, before, now *settings.Fleet) settings.ServiceName {
+func (d *Door) serviceOf(id settings.UpstreamID, before, now *settings.Declarations) settings.ServiceName {
 	if u, ok := now.Upstreams[id]; ok && u.Service == d.name {
 		return d.name
 	}
@@ -179,7 +179,7 @@
 const maxFormer = 256
 
 // rememberFormer keeps the addresses of sides that a change takes out of the declarations; the caller holds the lock.
-func (d *Door) rememberFormer(before, now *settings.Fleet) {
+func (d *Door) rememberFormer(before, now *settings.Declarations) {
 	if before == nil {
 		return
 	}
@@ -194,7 +194,7 @@
 }
 
 // setUpstreams takes in the declared upstreams of the service; the caller holds the lock.
-func (d *Door) setUpstreams(f *settings.Fleet) {
+func (d *Door) setUpstreams(f *settings.Declarations) {
 	d.set = rank.New(f.UpstreamsOf(d.name))
 	d.siblings = make([]string, 0, d.set.Len())
 	for _, id := range d.set.IDs() {
--- a/side/internal/sides/service.go
+++ b/side/internal/sides/service.go
@@ -49,7 +49,7 @@
 	Dialer   Dialer
 	Prefixes *Prefixes
 
-	others overlay.Neighbours
+	others overlay.PeerSet
 }
 
 // String returns the service's name.
--- a/standin/internal/bench/capacity.go
+++ b/standin/internal/bench/capacity.go
@@ -63,7 +63,7 @@
 	defer all.stop()
 	f, err := fleet.Start(ctx, fleet.Options{
 		Bin: bin, Dir: dir, Routers: 1, Engines: 1, DrainTime: 2 * time.Second, NoticeTime: 100 * time.Millisecond,
-		Declare: func(d *settings.Fleet) { all.declare(d, fleet.ModelService) },
+		Declare: func(d *settings.Declarations) { all.declare(d, fleet.ModelService) },
 	})
 	if err != nil {
 		return err
--- a/standin/internal/bench/fleet.go
+++ b/standin/internal/bench/fleet.go
@@ -50,7 +50,7 @@
 	f, err := fleet.Start(ctx, fleet.Options{
 		Bin: bin, Dir: dir, Routers: fleetRouters, Engines: fleetEngines, DecodeRate: fleetDecode,
 		DrainTime: 15 * time.Second, NoticeTime: 100 * time.Millisecond,
-		Declare: func(d *settings.Fleet) {
+		Declare: func(d *settings.Declarations) {
 			s := d.Services[fleet.ModelService]
 			s.Multiple = fleetMultiple
 			s.DecodeRate = settings.Tokens(fleetDecode)
--- a/standin/internal/bench/stub.go
+++ b/standin/internal/bench/stub.go
@@ -83,7 +83,7 @@
 }
 
 // declare adds the stubs to a set of declarations.
-func (a *stubs) declare(f *settings.Fleet, service settings.ServiceName) {
+func (a *stubs) declare(f *settings.Declarations, service settings.ServiceName) {
 	for _, s := range a.list {
 		f.Upstreams[s.id] = settings.Upstream{Service: service, DataCentre: "kano", Side: s.address}
 	}
--- a/standin/internal/cmd/configuration.go
+++ b/standin/internal/cmd/configuration.go
@@ -16,7 +16,7 @@
 func (c *configurationCmd) Run(ctx context.Context) error {
 	s := &configuration.Service{}
 	if c.Declarations != "" {
-		fleet, err := settings.LoadFleet(c.Declarations)
+		fleet, err := settings.LoadDeclarations(c.Declarations)
 		if err != nil {
 			return err
 		}
--- a/standin/internal/configuration/service.go
+++ b/standin/internal/configuration/service.go
@@ -97,9 +97,9 @@
 	if f.StaleRevision > 0 {
 		at = min(at, f.StaleRevision)
 	}
-	c := configuration.Changes{Revision: at, Whole: since == 0}
+	c := configuration.Changes{Revision: at, Complete: since == 0}
 	for _, d := range s.history[at] {
-		if d.Revision > since && !(c.Whole && d.Deleted) {
+		if d.Revision > since && !(c.Complete && d.Deleted) {
 			c.Documents = append(c.Documents, d)
 		}
 	}
--- a/standin/internal/fleet/fleet.go
+++ b/standin/internal/fleet/fleet.go
@@ -38,7 +38,7 @@
 	// DecodeRate is the engines' answer tokens a second.
 	DecodeRate float64
 	// Declare changes the declarations before the start.
-	Declare func(f *settings.Fleet)
+	Declare func(f *settings.Declarations)
 	// DrainTime is the processes' drain time, NoticeTime the routers' notice time.
 	DrainTime  time.Duration
 	NoticeTime time.Duration
@@ -69,7 +69,7 @@
 // Fleet is a running fleet.
 type Fleet struct {
 	Options       Options
-	Declarations  *settings.Fleet
+	Declarations  *settings.Declarations
 	Configuration *Process
 	VMList        *Process
 	ConfigURL     string
@@ -211,8 +211,8 @@
 }
 
 // baseDeclarations returns profiles like those of a first user.
-func baseDeclarations() *settings.Fleet {
-	return &settings.Fleet{
+func baseDeclarations() *settings.Declarations {
+	return &settings.Declarations{
 		Profiles: map[settings.ProfileName]settings.Profile{
 			"answer": {Service: ModelService, Priority: settings.PriorityUrgent, Deadline: 20 * time.Second, Idempotent: true, Retries: 3, ExpectedTokens: 24},
 			"draft":  {Service: ModelService, Priority: settings.PriorityPatient, Deadline: 60 * time.Second, Idempotent: true, Retries: 3, ExpectedTokens: 100},
@@ -407,7 +407,7 @@
 func (f *Fleet) LiveVMs() []configuration.VM {
 	var vms []configuration.VM
 	for _, e := range f.Routers {
-		vms = append(vms, configuration.VM{Address: e.Peer, Role: configuration.RoleEntry, State: configuration.VMLive})
+		vms = append(vms, configuration.VM{Address: e.Peer, Role: configuration.RoleRouter, State: configuration.VMLive})
 	}
 	for _, u := range f.Units() {
 		vms = append(vms, configuration.VM{Address: u.Peer, Role: "upstream", State: configuration.VMLive})
--- a/standin/internal/fleet/outcome_test.go
+++ b/standin/internal/fleet/outcome_test.go
@@ -22,7 +22,7 @@
 const keyLifetime = 3 * time.Second
 
 // shortKeys lets keys be forgotten soon, so that sides soon vouch for their keys.
-func shortKeys(f *settings.Fleet) {
+func shortKeys(f *settings.Declarations) {
 	s := f.Services[PlainService]
 	s.KeyLifetime = keyLifetime
 	f.Services[PlainService] = s
@@ -152,7 +152,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			ctx := testContext(t)
-			f := start(t, Options{Routers: 2, Plains: 3, Declare: func(f *settings.Fleet) {
+			f := start(t, Options{Routers: 2, Plains: 3, Declare: func(f *settings.Declarations) {
 				s := f.Services[PlainService]
 				s.KeyLifetime = 2 * keyLifetime
 				f.Services[PlainService] = s
@@ -185,7 +185,7 @@
 func TestPlannedRestartOfTheHomeKeepsItsAnswers(t *testing.T) {
 	c := qt.New(t)
 	ctx := testContext(t)
-	f := start(t, Options{Routers: 1, Plains: 3, Declare: func(f *settings.Fleet) {
+	f := start(t, Options{Routers: 1, Plains: 3, Declare: func(f *settings.Declarations) {
 		s := f.Services[PlainService]
 		s.KeyLifetime = 8 * time.Second
 		f.Services[PlainService] = s
@@ -213,7 +213,7 @@
 func TestKeyWhoseHomeIsTakenOutWaitsForTheOldHomesWord(t *testing.T) {
 	c := qt.New(t)
 	ctx := testContext(t)
-	f := start(t, Options{Routers: 1, Plains: 3, Declare: func(f *settings.Fleet) {
+	f := start(t, Options{Routers: 1, Plains: 3, Declare: func(f *settings.Declarations) {
 		s := f.Services[PlainService]
 		s.KeyLifetime = 20 * time.Second
 		f.Services[PlainService] = s
@@ -255,7 +255,7 @@
 func TestSidePausedPastTheDeadlineDoesNotRunWhatWasGivenUp(t *testing.T) {
 	c := qt.New(t)
 	ctx := testContext(t)
-	f := start(t, Options{Routers: 1, Plains: 1, Declare: func(f *settings.Fleet) {
+	f := start(t, Options{Routers: 1, Plains: 1, Declare: func(f *settings.Declarations) {
 		p := f.Profiles["debit"]
 		p.Deadline = time.Second
 		f.Profiles["debit"] = p
--- a/standin/internal/fleet/stop_test.go
+++ b/standin/internal/fleet/stop_test.go
@@ -171,7 +171,7 @@
 func TestGivenUpRequestIsAnsweredAtOnceWithWhenToComeBack(t *testing.T) {
 	c := qt.New(t)
 	ctx := testContext(t)
-	f := start(t, Options{Routers: 1, Engines: 1, DecodeRate: 20, Declare: func(f *settings.Fleet) {
+	f := start(t, Options{Routers: 1, Engines: 1, DecodeRate: 20, Declare: func(f *settings.Declarations) {
 		s := f.Services[ModelService]
 		s.MaxRunning = 1
 		s.MaxQueued = 1
