--- a/core/internal/benchdecisions/ours.go
+++ b/core/internal/benchdecisions/ours.go
@@ -180,8 +180,8 @@
 
 // messageBytes is the size of a sample on the wire.
 func messageBytes(s mean.Sample) float64 {
-	m := &peer.Exchange{Side: s.Side, Service: "letterhouse", Load: float32(s.Load), Mean: float32(s.Mean), Known: s.Known}
-	n, err := peer.Size(m)
+	m := &peer.LoadExchange{Side: s.Side, Service: "letterhouse", Load: float32(s.Load), Mean: float32(s.Mean), MeanKnown: s.Known}
+	n, err := peer.FrameSize(m)
 	if err != nil {
 		return 0
 	}
--- a/core/outcome/keys.go
+++ b/core/outcome/keys.go
@@ -147,10 +147,10 @@
 	}
 	r := &Record{
 		Key:     in.Key,
-		Body:    in.Body,
+		Body:    in.BodyDigest,
 		State:   state,
 		Answer:  Answer{Status: in.Status, Headers: in.Headers, Body: in.Answer},
-		expires: now.Add(in.Left),
+		expires: now.Add(in.Remaining),
 		done:    make(chan struct{}),
 	}
 	close(r.done)
@@ -172,13 +172,13 @@
 
 func (r *Record) export(now clock.Instant) peer.KeyRecord {
 	return peer.KeyRecord{
-		Key:     r.Key,
-		Body:    r.Body,
-		State:   uint8(r.State),
-		Status:  r.Answer.Status,
-		Headers: r.Answer.Headers,
-		Answer:  r.Answer.Body,
-		Left:    r.expires.Sub(now),
+		Key:        r.Key,
+		BodyDigest: r.Body,
+		State:      uint8(r.State),
+		Status:     r.Answer.Status,
+		Headers:    r.Answer.Headers,
+		Answer:     r.Answer.Body,
+		Remaining:  r.expires.Sub(now),
 	}
 }
 
--- a/core/peer/dial.go
+++ b/core/peer/dial.go
@@ -63,8 +63,8 @@
 	Identity *Identity
 	// MaxDialled bounds the links that this process keeps towards others; the one idle for longest goes first.
 	MaxDialled int
-	// DialTime is how long a link may take to be made, 0 for 1 s.
-	DialTime time.Duration
+	// DialTimeout is how long a link may take to be made, 0 for 1 s.
+	DialTimeout time.Duration
 
 	mu    sync.Mutex
 	links map[string]*dialled
@@ -218,7 +218,7 @@
 
 // connect makes a link for everybody who waits for it and forgets it when it ends.
 func (e *Endpoint) connect(address string, d *dialled) {
-	ctx, cancel := context.WithTimeout(context.Background(), cmp.Or(e.DialTime, defaultDialTime))
+	ctx, cancel := context.WithTimeout(context.Background(), cmp.Or(e.DialTimeout, defaultDialTime))
 	defer cancel()
 	d.link, d.err = e.dial(ctx, address)
 	close(d.ready)
--- a/core/peer/frame.go
+++ b/core/peer/frame.go
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// Size returns the bytes that a message takes as a frame.
-func Size(m Message) (int, error) {
+// FrameSize returns the bytes that a message takes as a frame.
+func FrameSize(m Message) (int, error) {
 	var buf bytes.Buffer
 	err := appendFrame(&buf, 0, m)
 	return buf.Len(), err
--- a/core/peer/header.go
+++ b/core/peer/header.go
@@ -16,8 +16,8 @@
 	"Accept-Encoding":   true,
 }
 
-// Headers returns the header fields that are passed on, without those that drop reports.
-func Headers(h http.Header, drop func(name string) bool) []Header {
+// EndToEndHeaders returns the header fields that are passed on, without those that drop reports.
+func EndToEndHeaders(h http.Header, drop func(name string) bool) []Header {
 	var list []Header
 	for name, values := range h {
 		if connectionHeaders[name] || drop(name) {
--- a/core/peer/keys.go
+++ b/core/peer/keys.go
@@ -8,13 +8,13 @@
 
 // KeyRecord is what a side remembers of one idempotency key.
 type KeyRecord struct {
-	Key     string
-	Body    uint64
-	State   uint8
-	Status  int
-	Headers []Header
-	Answer  []byte
-	Left    time.Duration
+	Key        string
+	BodyDigest uint64
+	State      uint8
+	Status     int
+	Headers    []Header
+	Answer     []byte
+	Remaining  time.Duration
 }
 
 // Claim asks another side for the records of the keys that are now the asking side's own.
@@ -23,8 +23,8 @@
 	Service settings.ServiceName
 	// Ended is the revision that may have taken keys from the asked side.
 	Ended settings.Revision
-	// Fresh says that the asking process has just begun and wants what its predecessor left.
-	Fresh bool
+	// Restarted says that the asking process has just begun and wants what its predecessor left.
+	Restarted bool
 }
 
 // Kind returns KindClaim.
@@ -50,23 +50,23 @@
 // Kind returns KindHandover.
 func (*Handover) Kind() Kind { return KindHandover }
 
-// Kept confirms that a handover is kept.
-type Kept struct {
+// HandoverAck confirms that a handover is kept.
+type HandoverAck struct {
 }
 
 // Kind returns KindKept.
-func (*Kept) Kind() Kind { return KindKept }
+func (*HandoverAck) Kind() Kind { return KindKept }
 
 // LeavingLease is how long a router's word that a side is listed as leaving holds without renewal.
 const LeavingLease = 10 * time.Second
 
-// Fetch asks a side for the prefix of a chat in its engine's cache; chunks and an End answer it.
-type Fetch struct {
+// FetchPrefix asks a side for the prefix of a chat in its engine's cache; chunks and an End answer it.
+type FetchPrefix struct {
 	Chat uint64
 }
 
 // Kind returns KindFetch.
-func (*Fetch) Kind() Kind { return KindFetch }
+func (*FetchPrefix) Kind() Kind { return KindFetch }
 
 // Leaving says that the sending side takes no more work; from a router, that the receiving side is listed as leaving.
 type Leaving struct {
--- a/core/peer/listener.go
+++ b/core/peer/listener.go
@@ -12,8 +12,8 @@
 type Listener struct {
 	Address  string
 	Endpoint *Endpoint
-	// IdleTime is how long an unused link is kept.
-	IdleTime time.Duration
+	// IdleTimeout is how long an unused link is kept.
+	IdleTimeout time.Duration
 }
 
 // String returns the service's name.
@@ -37,14 +37,14 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		t := time.NewTicker(l.IdleTime / 2)
+		t := time.NewTicker(l.IdleTimeout / 2)
 		defer t.Stop()
 		for {
 			select {
 			case <-ctx.Done():
 				return
 			case <-t.C:
-				l.Endpoint.CloseIdle(l.IdleTime)
+				l.Endpoint.CloseIdle(l.IdleTimeout)
 			}
 		}
 	}()
--- a/core/peer/message.go
+++ b/core/peer/message.go
@@ -70,17 +70,17 @@
 	case KindCancel:
 		return &Cancel{}
 	case KindQuery:
-		return &Query{}
+		return &AttemptQuery{}
 	case KindState:
-		return &State{}
+		return &AttemptState{}
 	case KindIssue:
-		return &Issue{}
+		return &IssueTicket{}
 	case KindIssued:
-		return &Issued{}
+		return &TicketIssued{}
 	case KindPlaced:
-		return &Placed{}
+		return &ChatPlaced{}
 	case KindExchange:
-		return &Exchange{}
+		return &LoadExchange{}
 	case KindAnnounce:
 		return &Announce{}
 	case KindPull:
@@ -90,13 +90,13 @@
 	case KindHandover:
 		return &Handover{}
 	case KindKept:
-		return &Kept{}
+		return &HandoverAck{}
 	case KindClaim:
 		return &Claim{}
 	case KindLeaving:
 		return &Leaving{}
 	case KindFetch:
-		return &Fetch{}
+		return &FetchPrefix{}
 	case KindRouterState:
 		return &RouterState{}
 	}
--- a/core/peer/receive.go
+++ b/core/peer/receive.go
@@ -87,7 +87,7 @@
 // opens reports whether a message may begin a stream.
 func opens(m Message) bool {
 	switch m.(type) {
-	case *Submit, *Query, *Issue, *Placed, *Exchange, *Announce, *Pull, *Claim, *Handover, *Leaving, *Fetch, *RouterState:
+	case *Submit, *AttemptQuery, *IssueTicket, *ChatPlaced, *LoadExchange, *Announce, *Pull, *Claim, *Handover, *Leaving, *FetchPrefix, *RouterState:
 		return true
 	}
 	return false
--- a/core/peer/request.go
+++ b/core/peer/request.go
@@ -30,14 +30,14 @@
 	// Key is the caller's idempotency key, Ticket a ticket issued by the side.
 	Key    string
 	Ticket string
-	// Left is the time until the request's deadline, counted from Sent on the sender's clock.
-	Left     time.Duration
-	Sent     clock.Instant
-	Revision settings.Revision
-	Method   string
-	Path     string
-	Headers  []Header
-	Body     []byte
+	// Remaining is the time until the request's deadline, counted from Sent on the sender's clock.
+	Remaining time.Duration
+	Sent      clock.Instant
+	Revision  settings.Revision
+	Method    string
+	Path      string
+	Headers   []Header
+	Body      []byte
 	// PromptTokens is the router's estimate of the prompt's length.
 	PromptTokens settings.Tokens
 	// Resume is the text that the caller already has, Offset the number of chunks that carried it.
@@ -45,12 +45,12 @@
 	Offset uint32
 	// Redirected says that another side sent the request here.
 	Redirected bool
-	// Last says that every other side asked had more load.
-	Last bool
+	// LastCandidate says that every other side asked had more load.
+	LastCandidate bool
 	// Moves counts the sides that carried too much and moved the request away.
 	Moves int
-	// Holder is a side that may export the chat's prefix.
-	Holder settings.UpstreamID
+	// CacheOwner is a side that may export the chat's prefix.
+	CacheOwner settings.UpstreamID
 }
 
 // Kind returns KindSubmit.
@@ -70,20 +70,20 @@
 
 // The reasons for a refusal.
 const (
-	RefuseLeaving     RefuseCode = "leaving"
-	RefuseOverloaded  RefuseCode = "overloaded"
-	RefuseElsewhere   RefuseCode = "held_elsewhere"
-	RefuseDeadline    RefuseCode = "deadline_too_short"
-	RefuseTableFull   RefuseCode = "table_full"
-	RefuseNotHome     RefuseCode = "not_home"
-	RefuseHomeUnsure  RefuseCode = "home_cannot_rule_out_an_earlier_run"
-	RefuseKeyReused   RefuseCode = "key_reused"
-	RefuseIncarnation RefuseCode = "upstream_was_replaced"
-	RefuseTicket      RefuseCode = "ticket_invalid"
-	RefuseNever       RefuseCode = "attempt_was_cancelled"
-	RefuseUnknownRun  RefuseCode = "earlier_run_without_result"
-	RefuseProfile     RefuseCode = "unknown_profile"
-	RefuseUpstream    RefuseCode = "upstream_unreachable"
+	RefuseLeaving       RefuseCode = "leaving"
+	RefuseOverloaded    RefuseCode = "overloaded"
+	RefuseHeldElsewhere RefuseCode = "held_elsewhere"
+	RefuseDeadline      RefuseCode = "deadline_too_short"
+	RefuseTableFull     RefuseCode = "table_full"
+	RefuseNotPrimary    RefuseCode = "not_home"
+	RefusePrimaryUnsure RefuseCode = "home_cannot_rule_out_an_earlier_run"
+	RefuseKeyReused     RefuseCode = "key_reused"
+	RefuseIncarnation   RefuseCode = "upstream_was_replaced"
+	RefuseTicket        RefuseCode = "ticket_invalid"
+	RefuseCancelled     RefuseCode = "attempt_was_cancelled"
+	RefuseResultLost    RefuseCode = "earlier_run_without_result"
+	RefuseProfile       RefuseCode = "unknown_profile"
+	RefuseUpstream      RefuseCode = "upstream_unreachable"
 )
 
 // Refuse says that the attempt was not run and never will be.
@@ -95,8 +95,8 @@
 	Next []settings.UpstreamID
 	// RetryAfter is when the caller should come back.
 	RetryAfter time.Duration
-	// Holder is a side that may export the chat's prefix.
-	Holder settings.UpstreamID
+	// CacheOwner is a side that may export the chat's prefix.
+	CacheOwner settings.UpstreamID
 	// Load is the load of the refusing side.
 	Load float32
 }
@@ -154,8 +154,8 @@
 // Kind returns KindCancel.
 func (*Cancel) Kind() Kind { return KindCancel }
 
-// State answers Query.
-type State struct {
+// AttemptState answers Query.
+type AttemptState struct {
 	// Started says that the attempt was handed to the upstream.
 	Started bool
 	// Certain is false when the side cannot tell or cannot forbid the start.
@@ -163,41 +163,41 @@
 }
 
 // Kind returns KindState.
-func (*State) Kind() Kind { return KindState }
+func (*AttemptState) Kind() Kind { return KindState }
 
-// Query asks whether an attempt was started, and forbids its start if it was not.
-type Query struct {
+// AttemptQuery asks whether an attempt was started, and forbids its start if it was not.
+type AttemptQuery struct {
 	Request RequestID
 	Attempt AttemptID
-	// Left is the time until the request's deadline.
-	Left time.Duration
+	// Remaining is the time until the request's deadline.
+	Remaining time.Duration
 }
 
 // Kind returns KindQuery.
-func (*Query) Kind() Kind { return KindQuery }
+func (*AttemptQuery) Kind() Kind { return KindQuery }
 
-// Issue asks a side for a ticket.
-type Issue struct {
+// IssueTicket asks a side for a ticket.
+type IssueTicket struct {
 	Profile settings.ProfileName
 }
 
 // Kind returns KindIssue.
-func (*Issue) Kind() Kind { return KindIssue }
+func (*IssueTicket) Kind() Kind { return KindIssue }
 
-// Issued carries a ticket.
-type Issued struct {
+// TicketIssued carries a ticket.
+type TicketIssued struct {
 	Ticket   string
 	Lifetime time.Duration
 }
 
 // Kind returns KindIssued.
-func (*Issued) Kind() Kind { return KindIssued }
+func (*TicketIssued) Kind() Kind { return KindIssued }
 
-// Placed tells a chat's home which side served the chat.
-type Placed struct {
+// ChatPlaced tells a chat's home which side served the chat.
+type ChatPlaced struct {
 	Chat uint64
 	Side settings.UpstreamID
 }
 
 // Kind returns KindPlaced.
-func (*Placed) Kind() Kind { return KindPlaced }
+func (*ChatPlaced) Kind() Kind { return KindPlaced }
--- a/core/peer/router.go
+++ b/core/peer/router.go
@@ -20,20 +20,20 @@
 	Cores float64
 	// Open is the number of requests that it has open at each upstream.
 	Open inflight.Counts
-	// Signs is what the router hears of upstreams, but for those that answer the requests in Open.
-	Signs silence.Observations
-	// KnowsHoldings says that it knows which prompts are cached where, from its own time or from the engines.
-	KnowsHoldings bool
-	// WantsHoldings asks a router that knows them for all cached prompts.
-	WantsHoldings bool
-	// Inventoried are the upstreams whose cached prompts the router has just asked for.
-	Inventoried []settings.UpstreamID
-	// Holdings are the prompts that upstreams have read through it since it told the other router last.
-	Holdings []affinity.Batch
+	// Responsiveness is what the router hears of upstreams, but for those that answer the requests in Open.
+	Responsiveness silence.Observations
+	// HasCacheEntries says that it knows which prompts are cached where, from its own time or from the engines.
+	HasCacheEntries bool
+	// WantsCacheEntries asks a router that knows them for all cached prompts.
+	WantsCacheEntries bool
+	// CacheQueried are the upstreams whose cached prompts the router has just asked for.
+	CacheQueried []settings.UpstreamID
+	// CacheEntries are the prompts that upstreams have read through it since it told the other router last.
+	CacheEntries []affinity.Batch
 	// Members are the changes of instances that it has heard of since then.
 	Members []members.Change
-	// Listed says that Members holds every instance that it knows.
-	Listed bool
+	// MembersComplete says that Members holds every instance that it knows.
+	MembersComplete bool
 	// DirectoryAge is how long ago the router itself has read the platform's directory.
 	DirectoryAge time.Duration
 	// DirectoryFailing says that the router cannot read the directory itself.
--- a/core/peer/stream.go
+++ b/core/peer/stream.go
@@ -170,8 +170,8 @@
 	return answer, nil
 }
 
-// Tell opens a stream with a message that wants no answer.
-func Tell(ctx context.Context, l *Link, m Message) error {
+// Notify opens a stream with a message that wants no answer.
+func Notify(ctx context.Context, l *Link, m Message) error {
 	s, err := l.Open(ctx, m)
 	if err != nil {
 		return err
--- a/core/peer/tls.go
+++ b/core/peer/tls.go
@@ -78,8 +78,8 @@
 	return &cert, pool, nil
 }
 
-// ForCallers returns the configuration of a server whose callers need no certificate.
-func (i *Identity) ForCallers() *tls.Config {
+// CallerConfig returns the configuration of a server whose callers need no certificate.
+func (i *Identity) CallerConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: i.certificate}
 }
 
--- a/core/spread/spread.go
+++ b/core/spread/spread.go
@@ -185,7 +185,7 @@
 	s.mu.Unlock()
 	for _, l := range callers {
 		// A link that has ended is forgotten at the next comparison.
-		_ = peer.Tell(ctx, l, s.announcement())
+		_ = peer.Notify(ctx, l, s.announcement())
 	}
 }
 
--- a/router/internal/app/app.go
+++ b/router/internal/app/app.go
@@ -112,7 +112,7 @@
 			Ready:   r.ready,
 			Dumpers: []operator.Dumper{r.caller, r.view, r.spread, &operator.Links{Endpoint: r.endpoint}},
 		},
-		&peer.Listener{Address: r.cfg.Peer, Endpoint: r.endpoint, IdleTime: idleLinkTime},
+		&peer.Listener{Address: r.cfg.Peer, Endpoint: r.endpoint, IdleTimeout: idleLinkTime},
 		r.watch,
 		r.spread,
 		r.caller,
--- a/router/internal/app/direct.go
+++ b/router/internal/app/direct.go
@@ -98,7 +98,7 @@
 	if d.endpoint, incarnation, err = newEndpoint(cfg, d.store, d, l); err != nil {
 		return nil, err
 	}
-	d.endpoint.DialTime = linkDialTime
+	d.endpoint.DialTimeout = linkDialTime
 	d.connect(incarnation)
 	return d, nil
 }
@@ -296,7 +296,7 @@
 			Dumpers: []operator.Dumper{d.client, d.members, d.routers, d.spread, &operator.Links{Endpoint: d.endpoint}},
 		},
 		d.readiness,
-		&peer.Listener{Address: d.cfg.Peer, Endpoint: d.endpoint, IdleTime: idleLinkTime},
+		&peer.Listener{Address: d.cfg.Peer, Endpoint: d.endpoint, IdleTimeout: idleLinkTime},
 		d.connections,
 		d.routers,
 		d.watch,
--- a/router/internal/caller/plain.go
+++ b/router/internal/caller/plain.go
@@ -30,7 +30,7 @@
 	c.Method = ctx.Method()
 	c.Path = plainPath(ctx.Request(), c.Name)
 	c.Body = body
-	c.Headers = peer.Headers(ctx.Request().Header, ownHeader)
+	c.Headers = peer.EndToEndHeaders(ctx.Request().Header, ownHeader)
 	if f := setKey(ctx, c); f != nil {
 		s.fail(ctx, c, f)
 		return
--- a/router/internal/caller/server.go
+++ b/router/internal/caller/server.go
@@ -23,7 +23,7 @@
 // Dispatcher takes calls to upstreams.
 type Dispatcher interface {
 	Do(ctx context.Context, c *sides.Call, sink sides.Sink) sides.Result
-	Issue(ctx context.Context, name settings.ProfileName, p settings.Profile) (*peer.Issued, error)
+	Issue(ctx context.Context, name settings.ProfileName, p settings.Profile) (*peer.TicketIssued, error)
 }
 
 // Declarations gives the declarations in force.
@@ -73,7 +73,7 @@
 		MaxHeaderBytes:    limits.HeaderBytes,
 	}
 	if s.Identity != nil {
-		srv.TLSConfig = s.Identity.ForCallers()
+		srv.TLSConfig = s.Identity.CallerConfig()
 	}
 	noticed, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/router/internal/routers/news.go
+++ b/router/internal/routers/news.go
@@ -62,9 +62,9 @@
 	now := s.Clock.Now()
 	state := &peer.RouterState{
 		Router: s.ID, Address: s.Address, Incarnation: s.Incarnation, Cores: s.Cores, Open: s.Ledger.Local(),
-		Signs: s.Silence.Local(now), KnowsHoldings: s.KnowsHoldings(),
+		Responsiveness: s.Silence.Local(now), HasCacheEntries: s.KnowsHoldings(),
 	}
-	state.Inventoried = s.Inventoried()
+	state.CacheQueried = s.Inventoried()
 	// The age is taken before the changes are, so that it never vouches for changes that are not told.
 	state.DirectoryAge, state.DirectoryFailing = s.Directory()
 	s.mu.Lock()
@@ -75,7 +75,7 @@
 		}
 	}
 	if !r.greeted {
-		state.Listed = s.Members.Complete()
+		state.MembersComplete = s.Members.Complete()
 		state.Members = s.Members.Snapshot()
 		r.greeted = !asking
 	} else {
@@ -88,7 +88,7 @@
 	if allHoldings {
 		holdings = s.Affinity.Recent(now, maxRecent)
 	}
-	state.Holdings = affinity.Pack(holdings)
+	state.CacheEntries = affinity.Pack(holdings)
 	r.members, r.holdings, r.stamps = nil, nil, nil
 	return state
 }
@@ -97,14 +97,14 @@
 func (s *Service) learn(m *peer.RouterState) {
 	now := s.Clock.Now()
 	s.Ledger.Report(now, m.Router, m.Open)
-	s.Silence.Report(now, m.Router, m.Open, m.Signs)
-	holdings, err := affinity.Unpack(m.Holdings)
+	s.Silence.Report(now, m.Router, m.Open, m.Responsiveness)
+	holdings, err := affinity.Unpack(m.CacheEntries)
 	if err != nil {
 		s.Log.Warn("cached prompts of a router refused", "router", m.Router, "error", err)
 	}
 	s.Affinity.Merge(now, holdings)
 	events := s.Members.ApplyRelayed(now, m.Members)
-	if m.Listed && !s.Members.Complete() {
+	if m.MembersComplete && !s.Members.Complete() {
 		s.Members.MarkComplete()
 		s.Log.Info("instances learnt from a router", "router", m.Router, "instances", len(m.Members))
 	}
@@ -114,7 +114,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, id := range m.Inventoried {
+	for _, id := range m.CacheQueried {
 		if s.inventoried == nil {
 			s.inventoried = make(map[settings.UpstreamID]bool)
 		}
@@ -122,7 +122,7 @@
 	}
 	from := s.add(m.Address)
 	from.cores = m.Cores
-	from.failing, from.knows = m.DirectoryFailing, m.KnowsHoldings
+	from.failing, from.knows = m.DirectoryFailing, m.HasCacheEntries
 	from.informed = max(from.informed, now.Add(-m.DirectoryAge))
 	for _, address := range m.Routers {
 		if address != s.Address {
--- a/router/internal/routers/service.go
+++ b/router/internal/routers/service.go
@@ -220,7 +220,7 @@
 	ctx, cancel := context.WithTimeout(ctx, answerTime)
 	defer cancel()
 	state := s.state(r, true, false)
-	if state.WantsHoldings = s.beginWanting(r); state.WantsHoldings {
+	if state.WantsCacheEntries = s.beginWanting(r); state.WantsCacheEntries {
 		defer s.endWanting()
 	}
 	answer, err := s.ask(ctx, r.address, state)
@@ -236,7 +236,7 @@
 	s.meet(r, now)
 	s.mu.Unlock()
 	s.learn(answer)
-	if state.WantsHoldings && answer.KnowsHoldings {
+	if state.WantsCacheEntries && answer.HasCacheEntries {
 		s.setLearnt()
 	}
 }
@@ -315,7 +315,7 @@
 	r.heard = s.Clock.Now()
 	s.mu.Unlock()
 	s.learn(v)
-	if err := st.Send(ctx, s.state(r, false, v.WantsHoldings && s.KnowsHoldings())); err != nil {
+	if err := st.Send(ctx, s.state(r, false, v.WantsCacheEntries && s.KnowsHoldings())); err != nil {
 		s.Log.Debug("answering a router", "router", v.Router, "error", err)
 	}
 	return true
--- a/router/internal/routers/service_test.go
+++ b/router/internal/routers/service_test.go
@@ -146,7 +146,7 @@
 
 // told returns the holdings in a state.
 func told(c *qt.C, state *peer.RouterState) []affinity.CacheEntry {
-	list, err := affinity.Unpack(state.Holdings)
+	list, err := affinity.Unpack(state.CacheEntries)
 	c.Assert(err, qt.IsNil)
 	return list
 }
--- a/router/internal/sides/attempt.go
+++ b/router/internal/sides/attempt.go
@@ -86,27 +86,27 @@
 	_, revision := d.View.Fleet()
 	now := d.Clock.Now()
 	return &peer.Submit{
-		Request:      c.ID,
-		Attempt:      p.attempt,
-		Profile:      c.Name,
-		Team:         c.Team,
-		Chat:         c.Chat,
-		Key:          c.Key,
-		Ticket:       c.Ticket,
-		Left:         c.Deadline.Sub(now),
-		Sent:         now,
-		Revision:     revision,
-		Method:       c.Method,
-		Path:         c.Path,
-		Headers:      c.Headers,
-		Body:         c.Body,
-		PromptTokens: c.PromptTokens + settings.Tokens(p.events),
-		Resume:       p.text(),
-		Offset:       p.events,
-		Redirected:   step.Redirected || p.moves > 0,
-		Moves:        p.moves,
-		Last:         step.Last,
-		Holder:       p.holder,
+		Request:       c.ID,
+		Attempt:       p.attempt,
+		Profile:       c.Name,
+		Team:          c.Team,
+		Chat:          c.Chat,
+		Key:           c.Key,
+		Ticket:        c.Ticket,
+		Remaining:     c.Deadline.Sub(now),
+		Sent:          now,
+		Revision:      revision,
+		Method:        c.Method,
+		Path:          c.Path,
+		Headers:       c.Headers,
+		Body:          c.Body,
+		PromptTokens:  c.PromptTokens + settings.Tokens(p.events),
+		Resume:        p.text(),
+		Offset:        p.events,
+		Redirected:    step.Redirected || p.moves > 0,
+		Moves:         p.moves,
+		LastCandidate: step.Last,
+		CacheOwner:    p.holder,
 	}
 }
 
@@ -149,7 +149,7 @@
 
 // refusedBy tells a refusal from a request that was accepted and moves on before it has started.
 func refusedBy(v *peer.Refuse) report {
-	if v.Code == peer.RefuseElsewhere && len(v.Next) > 0 {
+	if v.Code == peer.RefuseHeldElsewhere && len(v.Next) > 0 {
 		return report{ending: endMoved, moved: v.Next[0]}
 	}
 	return report{ending: endRefused, refuse: v}
@@ -192,8 +192,8 @@
 		if l.Remote().Incarnation != old.Remote().Incarnation {
 			break
 		}
-		q := &peer.Query{Request: c.ID, Attempt: p.attempt, Left: c.Deadline.Sub(d.Clock.Now())}
-		state, err := peer.Ask[*peer.State](ctx, l, q, queryLimit)
+		q := &peer.AttemptQuery{Request: c.ID, Attempt: p.attempt, Remaining: c.Deadline.Sub(d.Clock.Now())}
+		state, err := peer.Ask[*peer.AttemptState](ctx, l, q, queryLimit)
 		if err != nil {
 			old = l
 			continue
--- a/router/internal/sides/dispatch.go
+++ b/router/internal/sides/dispatch.go
@@ -113,7 +113,7 @@
 	if err != nil {
 		return
 	}
-	_ = peer.Tell(ctx, l, &peer.Placed{Chat: c.Chat, Side: served})
+	_ = peer.Notify(ctx, l, &peer.ChatPlaced{Chat: c.Chat, Side: served})
 }
 
 // atHome runs a call that must run at most once at the one side that can vouch for it.
@@ -131,7 +131,7 @@
 		case endCaller:
 			return callerGone(ctx)
 		case endRefused:
-			if r.refuse.Code != peer.RefuseNotHome || retries >= homeTries {
+			if r.refuse.Code != peer.RefuseNotPrimary || retries >= homeTries {
 				return refusedAtHome(r.refuse)
 			}
 		}
@@ -180,11 +180,11 @@
 	if err != nil {
 		return
 	}
-	_ = peer.Tell(ctx, l, &peer.Leaving{})
+	_ = peer.Notify(ctx, l, &peer.Leaving{})
 }
 
 // Issue gets a ticket from a side of the profile's service.
-func (d *Dispatcher) Issue(ctx context.Context, name settings.ProfileName, p settings.Profile) (*peer.Issued, error) {
+func (d *Dispatcher) Issue(ctx context.Context, name settings.ProfileName, p settings.Profile) (*peer.TicketIssued, error) {
 	walk := route.New(d.View.Usable(p.Service), rand.Uint64(), "")
 	var last error
 	for {
@@ -199,7 +199,7 @@
 			last = err
 			continue
 		}
-		issued, err := peer.Ask[*peer.Issued](ctx, l, &peer.Issue{Profile: name}, queryLimit)
+		issued, err := peer.Ask[*peer.TicketIssued](ctx, l, &peer.IssueTicket{Profile: name}, queryLimit)
 		if err == nil {
 			return issued, nil
 		}
--- a/router/internal/sides/search.go
+++ b/router/internal/sides/search.go
@@ -55,8 +55,8 @@
 // refused follows a side's word where to go instead.
 func (s *search) refused(step route.Step, r *peer.Refuse) {
 	s.refusal = r
-	if r.Holder != "" {
-		s.p.holder = r.Holder
+	if r.CacheOwner != "" {
+		s.p.holder = r.CacheOwner
 	}
 	s.d.note(step.Side, r)
 	s.walk.Refused(r.Next)
@@ -153,7 +153,7 @@
 
 // passing reports whether a refusal speaks of one side that goes away, so that asking anew soon can help.
 func passing(r *peer.Refuse) bool {
-	return r != nil && (r.Code == peer.RefuseLeaving || r.Code == peer.RefuseUpstream || r.Code == peer.RefuseNever)
+	return r != nil && (r.Code == peer.RefuseLeaving || r.Code == peer.RefuseUpstream || r.Code == peer.RefuseCancelled)
 }
 
 // callerGone is the result of a call whose caller left or whose deadline passed while it ran.
--- a/side/internal/app/app.go
+++ b/side/internal/app/app.go
@@ -124,7 +124,7 @@
 			Ready:   s.ready,
 			Dumpers: []operator.Dumper{s.door, s.spread, &operator.Links{Endpoint: s.endpoint}},
 		},
-		&peer.Listener{Address: s.cfg.Peer, Endpoint: s.endpoint, IdleTime: idleLinkTime},
+		&peer.Listener{Address: s.cfg.Peer, Endpoint: s.endpoint, IdleTimeout: idleLinkTime},
 		s.spread,
 		s.sides,
 		&drain{side: s},
@@ -161,7 +161,7 @@
 	notice, cancelNotice := context.WithTimeout(context.Background(), leavingTime)
 	defer cancelNotice()
 	for _, l := range d.side.endpoint.Links() {
-		_ = peer.Tell(notice, l, &peer.Leaving{})
+		_ = peer.Notify(notice, l, &peer.Leaving{})
 	}
 	work, cancelWork := context.WithTimeout(context.Background(), d.side.cfg.DrainTime)
 	defer cancelWork()
--- a/side/internal/router/handover.go
+++ b/side/internal/router/handover.go
@@ -48,7 +48,7 @@
 		if !ok {
 			continue
 		}
-		claim := &peer.Claim{From: d.Self, Service: d.name, Ended: w.Ended, Fresh: fresh}
+		claim := &peer.Claim{From: d.Self, Service: d.name, Ended: w.Ended, Restarted: fresh}
 		list = append(list, Question{Claim: claim, Address: address})
 	}
 	return list
@@ -106,7 +106,7 @@
 		Covered:  d.homes.CoveredBefore(now, c.Ended),
 		Records:  records,
 	}}
-	if kept, ok := d.handovers[c.From]; ok && c.Fresh {
+	if kept, ok := d.handovers[c.From]; ok && c.Restarted {
 		delete(d.handovers, c.From)
 		kept.handover.Age = now.Sub(kept.at)
 		answers = append(answers, kept.handover)
--- a/side/internal/router/job.go
+++ b/side/internal/router/job.go
@@ -67,7 +67,7 @@
 		KeyNotRun:  r.keyNotRun,
 		Next:       r.next,
 		RetryAfter: r.retryAfter,
-		Holder:     r.holder,
+		CacheOwner: r.holder,
 		Load:       float32(r.load),
 	}
 }
--- a/side/internal/router/run.go
+++ b/side/internal/router/run.go
@@ -17,7 +17,7 @@
 	call, err := d.call(j)
 	if err != nil || !d.handOver(j) {
 		d.abandon(j)
-		_ = st.Send(ctx, j.refusal(peer.RefuseNever))
+		_ = st.Send(ctx, j.refusal(peer.RefuseCancelled))
 		return
 	}
 	sink := &jobSink{door: d, job: j, ctx: ctx, stream: st}
@@ -142,7 +142,7 @@
 	answer := j.record.Answer
 	d.mu.Unlock()
 	if state != outcome.StateDone {
-		_ = st.Send(ctx, &peer.Refuse{Code: peer.RefuseUnknownRun})
+		_ = st.Send(ctx, &peer.Refuse{Code: peer.RefuseResultLost})
 		return
 	}
 	_ = st.Send(ctx, &peer.Accept{Replayed: true})
--- a/side/internal/router/serve.go
+++ b/side/internal/router/serve.go
@@ -12,11 +12,11 @@
 	switch v := m.(type) {
 	case *peer.Submit:
 		d.submit(ctx, st, v)
-	case *peer.Query:
+	case *peer.AttemptQuery:
 		_ = st.Send(ctx, d.query(v))
-	case *peer.Issue:
+	case *peer.IssueTicket:
 		d.issue(ctx, st)
-	case *peer.Placed:
+	case *peer.ChatPlaced:
 		d.placed(v)
 	default:
 		return false
@@ -25,12 +25,12 @@
 }
 
 // query tells whether an attempt has started, and withdraws it if not.
-func (d *Door) query(q *peer.Query) *peer.State {
+func (d *Door) query(q *peer.AttemptQuery) *peer.AttemptState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	key := outcome.AttemptKey{Request: q.Request, Attempt: q.Attempt}
-	started, certain := d.attempts.Withdraw(d.Clock.Now(), key, q.Left)
-	return &peer.State{Started: started, Certain: certain}
+	started, certain := d.attempts.Withdraw(d.Clock.Now(), key, q.Remaining)
+	return &peer.AttemptState{Started: started, Certain: certain}
 }
 
 func (d *Door) issue(ctx context.Context, st *peer.Stream) {
@@ -48,10 +48,10 @@
 		_ = st.Send(ctx, &peer.Refuse{Code: peer.RefuseTicket})
 		return
 	}
-	_ = st.Send(ctx, &peer.Issued{Ticket: text, Lifetime: lifetime})
+	_ = st.Send(ctx, &peer.TicketIssued{Ticket: text, Lifetime: lifetime})
 }
 
-func (d *Door) placed(p *peer.Placed) {
+func (d *Door) placed(p *peer.ChatPlaced) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.admission.CacheOwners.RecordServed(p.Chat, p.Side)
--- a/side/internal/router/submit.go
+++ b/side/internal/router/submit.go
@@ -16,7 +16,7 @@
 // submit takes one attempt through the door.
 func (d *Door) submit(ctx context.Context, st *peer.Stream, m *peer.Submit) {
 	j := &job{submit: m, slot: make(chan struct{})}
-	left := m.Left - st.Link().Lateness(m.Sent)
+	left := m.Remaining - st.Link().Lateness(m.Sent)
 	j.deadline = d.Clock.Now().Add(left)
 	j.ctx, j.cancel = context.WithTimeout(context.WithoutCancel(ctx), left)
 	defer j.cancel()
@@ -49,7 +49,7 @@
 func (j *job) refusal(code peer.RefuseCode) *peer.Refuse {
 	r := &peer.Refuse{Code: code, KeyNotRun: true, RetryAfter: time.Second}
 	if j.moveTo != "" {
-		r.Code = peer.RefuseElsewhere
+		r.Code = peer.RefuseHeldElsewhere
 		r.Next = []settings.UpstreamID{j.moveTo}
 	}
 	return r
@@ -64,7 +64,7 @@
 		return 0, &refusal{code: peer.RefuseDeadline}
 	}
 	if d.attempts.Seen(j.attempt()) {
-		return 0, &refusal{code: peer.RefuseNever}
+		return 0, &refusal{code: peer.RefuseCancelled}
 	}
 	step, refused := d.decide(j)
 	if refused != nil {
@@ -149,8 +149,8 @@
 		IsPrimary:     home == d.Self,
 		Redirected:    m.Redirected,
 		Moved:         m.Moves > 0,
-		LastCandidate: m.Last,
-		CacheOwner:    m.Holder,
+		LastCandidate: m.LastCandidate,
+		CacheOwner:    m.CacheOwner,
 	}
 	j.verdict = d.admission.Decide(d.Clock.Now(), ask)
 	if j.verdict.Admitted {
@@ -197,7 +197,7 @@
 		return nil
 	}
 	if home, ok := d.homes.Primary(j.submit.Key); !ok || home != d.Self {
-		return &refusal{code: peer.RefuseNotHome, retryAfter: time.Second}
+		return &refusal{code: peer.RefuseNotPrimary, retryAfter: time.Second}
 	}
 	return nil
 }
@@ -209,7 +209,7 @@
 	}
 	now := d.Clock.Now()
 	if d.homes.Confirm(now, j.submit.Key) != outcome.Confirmed {
-		return &refusal{code: peer.RefuseHomeUnsure, retryAfter: d.homes.TimeToConfirm(now)}
+		return &refusal{code: peer.RefusePrimaryUnsure, retryAfter: d.homes.TimeToConfirm(now)}
 	}
 	return nil
 }
--- a/side/internal/sides/prefixes.go
+++ b/side/internal/sides/prefixes.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return 0, err
 	}
-	st, err := l.Open(ctx, &peer.Fetch{Chat: chat})
+	st, err := l.Open(ctx, &peer.FetchPrefix{Chat: chat})
 	if err != nil {
 		return 0, err
 	}
@@ -81,7 +81,7 @@
 }
 
 // Serve sends the prefix that another side asks for.
-func (p *Prefixes) Serve(ctx context.Context, st *peer.Stream, f *peer.Fetch) {
+func (p *Prefixes) Serve(ctx context.Context, st *peer.Stream, f *peer.FetchPrefix) {
 	if err := p.send(ctx, st, f.Chat); err != nil {
 		_ = st.Send(ctx, &peer.Reset{Reason: err.Error()})
 	}
--- a/side/internal/sides/service.go
+++ b/side/internal/sides/service.go
@@ -148,7 +148,7 @@
 		return err
 	}
 	name, _ := s.Door.Siblings()
-	answer, err := peer.Ask[*peer.Exchange](ctx, l, message(name, s.Door.ExchangeSample(nil)), askLimit)
+	answer, err := peer.Ask[*peer.LoadExchange](ctx, l, message(name, s.Door.ExchangeSample(nil)), askLimit)
 	if err != nil {
 		return err
 	}
@@ -159,7 +159,7 @@
 // Serve answers another side's message; it reports false for messages of other services.
 func (s *Service) Serve(ctx context.Context, st *peer.Stream, m peer.Message) bool {
 	switch v := m.(type) {
-	case *peer.Exchange:
+	case *peer.LoadExchange:
 		s.answerExchange(ctx, st, v)
 	case *peer.Claim:
 		for _, h := range s.Door.AnswerClaim(v) {
@@ -168,8 +168,8 @@
 		_ = st.Send(ctx, &peer.Reset{Reason: "no more records"})
 	case *peer.Handover:
 		s.Door.KeepHandover(v)
-		_ = st.Send(ctx, &peer.Kept{})
-	case *peer.Fetch:
+		_ = st.Send(ctx, &peer.HandoverAck{})
+	case *peer.FetchPrefix:
 		s.Prefixes.Serve(ctx, st, v)
 	case *peer.Leaving:
 		s.leaving(st.Link().Remote())
@@ -188,7 +188,7 @@
 	s.Door.Forget(settings.UpstreamID(from.ID))
 }
 
-func (s *Service) answerExchange(ctx context.Context, st *peer.Stream, v *peer.Exchange) {
+func (s *Service) answerExchange(ctx context.Context, st *peer.Stream, v *peer.LoadExchange) {
 	name, _ := s.Door.Siblings()
 	if v.Service != name {
 		_ = st.Send(ctx, &peer.Reset{Reason: "other service"})
@@ -199,12 +199,12 @@
 	_ = st.Send(ctx, message(name, mine))
 }
 
-func message(name settings.ServiceName, s mean.Sample) *peer.Exchange {
-	return &peer.Exchange{Side: s.Side, Service: name, Load: float32(s.Load), Mean: float32(s.Mean), Known: s.Known}
+func message(name settings.ServiceName, s mean.Sample) *peer.LoadExchange {
+	return &peer.LoadExchange{Side: s.Side, Service: name, Load: float32(s.Load), Mean: float32(s.Mean), MeanKnown: s.Known}
 }
 
-func sample(e *peer.Exchange) mean.Sample {
-	return mean.Sample{Side: e.Side, Load: settings.Tokens(e.Load), Mean: settings.Tokens(e.Mean), Known: e.Known}
+func sample(e *peer.LoadExchange) mean.Sample {
+	return mean.Sample{Side: e.Side, Load: settings.Tokens(e.Load), Mean: settings.Tokens(e.Mean), Known: e.MeanKnown}
 }
 
 // claim asks every side whose word is missing for the records that belong here now.
@@ -253,7 +253,7 @@
 			continue
 		}
 		// Without an answer the successor waits until the keys have outlived their lifetime.
-		_, _ = peer.Ask[*peer.Kept](ctx, l, handover, askLimit)
+		_, _ = peer.Ask[*peer.HandoverAck](ctx, l, handover, askLimit)
 		return
 	}
 }
--- a/side/internal/upstream/client.go
+++ b/side/internal/upstream/client.go
@@ -125,7 +125,7 @@
 		return Usage{}, &NotHandedOverError{Cause: err}
 	}
 	defer res.Body.Close()
-	if err := sink.Head(res.StatusCode, peer.Headers(res.Header, keepAll)); err != nil {
+	if err := sink.Head(res.StatusCode, peer.EndToEndHeaders(res.Header, keepAll)); err != nil {
 		return Usage{}, errors.Wrap(err, "passing the head on")
 	}
 	if strings.HasPrefix(res.Header.Get("Content-Type"), "text/event-stream") {
--- a/standin/internal/bench/stub.go
+++ b/standin/internal/bench/stub.go
@@ -28,8 +28,8 @@
 		_ = st.Send(ctx, &peer.Head{Status: 200, Headers: []peer.Header{{Name: "Content-Type", Value: "application/json"}}})
 		_ = st.Send(ctx, &peer.Chunk{Attempt: v.Attempt, Seq: 1, Data: []byte("{}")})
 		_ = st.Send(ctx, &peer.End{Attempt: v.Attempt, Outcome: peer.OutcomeDone, Chunks: 1})
-	case *peer.Exchange:
-		_ = st.Send(ctx, &peer.Exchange{Side: s.id, Service: v.Service, Load: v.Load, Mean: v.Mean, Known: true})
+	case *peer.LoadExchange:
+		_ = st.Send(ctx, &peer.LoadExchange{Side: s.id, Service: v.Service, Load: v.Load, Mean: v.Mean, MeanKnown: true})
 	case *peer.Announce:
 		_ = st.Send(ctx, &peer.Announce{Version: v.Version})
 	}
