--- a/core/internal/benchdecisions/ours.go
+++ b/core/internal/benchdecisions/ours.go
@@ -55,7 +55,7 @@
 	router := o.sim.rng.IntN(routers)
 	set := o.view(router)
 	walk := route.New(set, r.chat.id, "")
-	home := walk.Home()
+	home := walk.Primary()
 	var p placement
 	var holder settings.UpstreamID
 	if r.engine != nil {
@@ -80,8 +80,8 @@
 			holder = v.CacheOwner
 		}
 		if !v.Admitted {
-			walk.Refused(v.Next[:])
-			walk.Loaded(step.Side, o.sides[e.index].Load())
+			walk.Prepend(v.Next[:])
+			walk.RecordOverloaded(step.Side, o.sides[e.index].Load())
 			continue
 		}
 		p.ok = true
@@ -100,7 +100,7 @@
 		IsPrimary:     home == e.id,
 		Redirected:    step.Redirected,
 		Moved:         moved,
-		LastCandidate: step.Last,
+		LastCandidate: step.LastCandidate,
 		CacheOwner:    holder,
 	})
 }
--- a/core/route/walk_test.go
+++ b/core/route/walk_test.go
@@ -16,12 +16,12 @@
 	for range 3 {
 		step, ok := w.Next()
 		c.Assert(ok, qt.IsTrue)
-		c.Assert(step.Last, qt.IsFalse)
-		w.Loaded(step.Side, loads[step.Side])
+		c.Assert(step.LastCandidate, qt.IsFalse)
+		w.RecordOverloaded(step.Side, loads[step.Side])
 	}
 	step, ok := w.Next()
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(step, qt.Equals, Step{Side: "b", Redirected: true, Last: true})
+	c.Assert(step, qt.Equals, Step{Side: "b", Redirected: true, LastCandidate: true})
 	_, ok = w.Next()
 	c.Assert(ok, qt.IsFalse)
 }
@@ -31,7 +31,7 @@
 	w := New(rank.New([]settings.UpstreamID{"a", "b", "c", "d", "e", "f"}), 7, "e")
 	first, _ := w.Next()
 	c.Assert(first.Side, qt.Equals, settings.UpstreamID("e"))
-	w.Refused([]settings.UpstreamID{"e", "f"})
+	w.Prepend([]settings.UpstreamID{"e", "f"})
 	second, _ := w.Next()
 	c.Assert(second, qt.Equals, Step{Side: "f", Redirected: true})
 	seen := map[settings.UpstreamID]bool{"e": true, "f": true}
@@ -43,14 +43,14 @@
 		c.Assert(seen[step.Side], qt.IsFalse)
 		seen[step.Side] = true
 	}
-	c.Assert(w.Asks() <= MaxAsks, qt.IsTrue)
+	c.Assert(w.Requests() <= MaxRequests, qt.IsTrue)
 }
 
 func TestExcludedSideIsNotAskedThoughItIsNamed(t *testing.T) {
 	c := qt.New(t)
 	w := New(rank.New([]settings.UpstreamID{"a", "b"}), 7, "")
 	w.Exclude([]settings.UpstreamID{"a"})
-	w.Refused([]settings.UpstreamID{"a"})
+	w.Prepend([]settings.UpstreamID{"a"})
 	step, ok := w.Next()
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(step.Side, qt.Equals, settings.UpstreamID("b"))
--- a/router/internal/app/direct.go
+++ b/router/internal/app/direct.go
@@ -73,8 +73,8 @@
 	spread      *spread.Service
 	routers     *routers.Service
 	client      *client.Server
-	watch       *directory.Watch
-	inventory   *engines.Inventory
+	watch       *directory.Watcher
+	inventory   *engines.Warmup
 	readiness   *readiness
 	announcer   *operator.Announcer
 }
@@ -119,43 +119,43 @@
 		scope.Tagged(map[string]string{"ok": yesNo(err == nil)}).Counter("upstream_connections").Inc(1)
 	}}
 	d.routers = &routers.Service{
-		ID:            inflight.RouterID(d.cfg.ID),
-		Address:       d.cfg.Advertise,
-		Incarnation:   incarnation,
-		Cores:         d.cfg.Direct.Cores,
-		Seeds:         d.cfg.Peers,
-		Dialer:        d.endpoint,
-		Ledger:        ledger,
-		Silence:       d.silence,
-		Affinity:      d.affinity,
-		Members:       d.members,
-		Clock:         clock.Boot{},
-		Log:           d.log,
-		Scope:         scope,
-		KnowsHoldings: func() bool { return d.inventory.Complete() },
-		Directory:     func() (time.Duration, bool) { return d.watch.State() },
-		Inventoried:   func() []settings.UpstreamID { return d.inventory.Asked() },
-		OnEvents:      d.changed,
+		ID:              inflight.RouterID(d.cfg.ID),
+		Address:         d.cfg.Advertise,
+		Incarnation:     incarnation,
+		Cores:           d.cfg.Direct.Cores,
+		Seeds:           d.cfg.Peers,
+		Dialer:          d.endpoint,
+		InFlight:        ledger,
+		Unresponsive:    d.silence,
+		Affinity:        d.affinity,
+		Members:         d.members,
+		Clock:           clock.Boot{},
+		Log:             d.log,
+		Scope:           scope,
+		HasCacheEntries: func() bool { return d.inventory.Complete() },
+		DirectoryState:  func() (time.Duration, bool) { return d.watch.State() },
+		CacheQueried:    func() []settings.UpstreamID { return d.inventory.Queried() },
+		OnEvents:        d.changed,
 	}
 	d.spread = &spread.Service{Store: d.store, Dialer: d.endpoint, Log: d.log, Candidates: d.routers.Known}
-	d.watch = &directory.Watch{
-		Self:     readers.Candidate{Address: d.cfg.Advertise, Cores: d.cfg.Direct.Cores},
-		Others:   d.routers,
-		Source:   &platform.Store{URL: d.cfg.Direct.Directory, HTTP: directoryClient()},
-		Store:    d.store,
-		Offer:    d.spread,
-		Members:  d.members,
-		Clock:    clock.Boot{},
-		Log:      d.log,
-		Scope:    scope,
-		OnEvents: d.changed,
-		Tell:     d.routers.Tell,
+	d.watch = &directory.Watcher{
+		Self:      readers.Candidate{Address: d.cfg.Advertise, Cores: d.cfg.Direct.Cores},
+		Routers:   d.routers,
+		Source:    &platform.Store{URL: d.cfg.Direct.Directory, HTTP: directoryClient()},
+		Store:     d.store,
+		Offer:     d.spread,
+		Members:   d.members,
+		Clock:     clock.Boot{},
+		Log:       d.log,
+		Scope:     scope,
+		OnEvents:  d.changed,
+		Broadcast: d.routers.Broadcast,
 	}
-	d.inventory = &engines.Inventory{
+	d.inventory = &engines.Warmup{
 		Address:    d.cfg.Advertise,
-		Named:      d.cfg.Peers,
+		Seeds:      d.cfg.Peers,
 		FirstStart: d.cfg.Direct.FirstStart,
-		Asker:      platform.Engines{HTTP: &http.Client{}},
+		Cache:      platform.Engines{HTTP: &http.Client{}},
 		Routers:    d.routers,
 		Members:    d.members,
 		Services:   d.cachingServices,
@@ -166,20 +166,20 @@
 	}
 	repeats := d.cfg.Direct.RetryBudget
 	dispatcher := &direct.Dispatcher{
-		DataCentre:  d.cfg.DataCentre,
-		Members:     d.members,
-		Ledger:      ledger,
-		Affinity:    d.affinity,
-		Outliers:    d.outliers,
-		Silence:     d.silence,
-		Queues:      &waiting.Queues{},
-		Budget:      &retry.FleetBudget{Limits: retry.Limits{Ratio: repeats.Ratio, Slack: repeats.Slack, Window: repeats.Window}},
-		Connections: d.connections,
-		Dialect:     platform.Dialect{},
-		Cached:      d.inventory,
-		Clock:       clock.Boot{},
-		Log:         d.log,
-		Scope:       scope,
+		DataCentre:   d.cfg.DataCentre,
+		Members:      d.members,
+		InFlight:     ledger,
+		Affinity:     d.affinity,
+		Outliers:     d.outliers,
+		Unresponsive: d.silence,
+		Queues:       &waiting.Queues{},
+		Budget:       &retry.FleetBudget{Limits: retry.Limits{Ratio: repeats.Ratio, Slack: repeats.Slack, Window: repeats.Window}},
+		Connections:  d.connections,
+		Dialect:      platform.Dialect{},
+		Warmup:       d.inventory,
+		Clock:        clock.Boot{},
+		Log:          d.log,
+		Scope:        scope,
 	}
 	d.silence.OnChange = func(id settings.UpstreamID, silent bool) {
 		if !silent {
@@ -269,7 +269,7 @@
 
 // ready reports whether the balancer should send connections.
 func (d *Direct) ready() bool {
-	return d.client.Known() && d.members.Complete() && d.inventory.Warm() && !d.client.Leaving()
+	return d.client.HasDeclarations() && d.members.Complete() && d.inventory.Warm() && !d.client.Stopping()
 }
 
 // Serve gives a peer's message to the service that answers it.
--- a/router/internal/client/answer.go
+++ b/router/internal/client/answer.go
@@ -43,8 +43,8 @@
 	writeTime time.Duration
 }
 
-// Head begins the answer.
-func (s *sink) Head(status int, h http.Header, length int64) error {
+// WriteHead begins the answer.
+func (s *sink) WriteHead(status int, h http.Header, length int64) error {
 	out := s.w.Header()
 	for name, values := range forwarded(h) {
 		out[name] = values
--- a/router/internal/client/serve.go
+++ b/router/internal/client/serve.go
@@ -32,7 +32,7 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	s.open.Add(1)
 	defer s.open.Add(-1)
-	if s.Leaving() {
+	if s.Stopping() {
 		w.Header().Set("Connection", "close")
 	}
 	arrived := s.Clock.Now()
@@ -52,9 +52,9 @@
 // deadline is how long the request may take: the client's own time within the route's timeout.
 func deadline(r *direct.Request) time.Duration {
 	if r.Timeout == 0 {
-		return r.Terms.Timeout
+		return r.RouteConfig.Timeout
 	}
-	return min(r.Timeout, r.Terms.Timeout)
+	return min(r.Timeout, r.RouteConfig.Timeout)
 }
 
 // admit finds the route and the team of a request.
@@ -77,13 +77,13 @@
 	if !ok {
 		return r, &refusal{status: http.StatusNotFound, code: "unknown_route"}
 	}
-	r.Route, r.Terms = match.Name, match.Route
+	r.Route, r.RouteConfig = match.Name, match.Route
 	if refused := authorize(table, r, &match.Route); refused != nil {
 		return r, refused
 	}
 	r.Rank = table.Rank(r.Team, &match.Route)
 	r.Service = routing.Pick(&match.Route, rand.Float64())
-	r.Out = upstream.Request{
+	r.Outbound = upstream.Request{
 		ID: r.ID, Method: req.Method, URI: uri, Host: req.Host, Header: forwarded(req.Header),
 	}
 	return r, nil
@@ -113,7 +113,7 @@
 // readBody reads the request's body within the limits.
 func (s *Server) readBody(w http.ResponseWriter, req *http.Request, r *direct.Request) *refusal {
 	if req.ContentLength == 0 {
-		r.Out.HasBody = req.Header.Get("Content-Length") != "" || req.Method == http.MethodPost || req.Method == http.MethodPut
+		r.Outbound.HasBody = req.Header.Get("Content-Length") != "" || req.Method == http.MethodPost || req.Method == http.MethodPut
 		return nil
 	}
 	limits := s.table.Load().Limits
@@ -132,7 +132,7 @@
 	if err := control.SetReadDeadline(time.Time{}); err != nil {
 		s.Log.Debug("clearing a read deadline", "error", err)
 	}
-	r.Out.Body, r.Out.HasBody = body, true
+	r.Outbound.Body, r.Outbound.HasBody = body, true
 	return nil
 }
 
@@ -141,14 +141,14 @@
 	sink := &sink{w: w, control: http.NewResponseController(w), writeTime: s.writeTime()}
 	res := s.Dispatcher.Do(req.Context(), r, sink)
 	took := s.Clock.Now().Sub(r.Arrived)
-	s.Scope.Tagged(map[string]string{"kind": string(r.Terms.Kind)}).Timer("request_duration").Record(took)
+	s.Scope.Tagged(map[string]string{"kind": string(r.RouteConfig.Kind)}).Timer("request_duration").Record(took)
 	line := []any{
 		"request", r.ID, "route", r.Route, "revision", r.Revision, "service", r.Service, "team", r.Team,
 		"upstream", res.Upstream, "outcome", res.Outcome, "code", res.Code, "status", res.Status,
-		"runs", res.Runs, "tries", res.Tries, "events", res.Events,
+		"runs", res.Runs, "tries", res.Attempts, "events", res.Events,
 		"load", res.Choice.Load, "mean_load", round(res.Choice.MeanLoad), "load_bound", round(res.Choice.LoadBound),
 		"prompt", r.SharedBlockID().String(), "shared_tokens", int(r.SharedTokens()), "cached_tokens", int(res.Choice.CachedTokens),
-		"waited_ms", res.Waited.Milliseconds(), "first_ms", res.FirstByte.Milliseconds(), "duration_ms", took.Milliseconds(),
+		"waited_ms", res.QueueTime.Milliseconds(), "first_ms", res.FirstByte.Milliseconds(), "duration_ms", took.Milliseconds(),
 		"left_ms", r.Deadline.Sub(s.Clock.Now()).Milliseconds(),
 	}
 	if h := res.Choice.CacheOwner; h != nil {
@@ -157,7 +157,7 @@
 	s.Log.Info("request", line...)
 	switch {
 	case res.Outcome == peer.OutcomeDone:
-	case res.Code == direct.CodeClientGone || res.Headed:
+	case res.Code == direct.CodeClientGone || res.HeadSent:
 		// The answer cannot become whole, and its end must not look complete.
 		panic(http.ErrAbortHandler)
 	default:
--- a/router/internal/client/server.go
+++ b/router/internal/client/server.go
@@ -96,11 +96,11 @@
 	return s.table.Load()
 }
 
-// Leaving reports whether the server is about to stop.
-func (s *Server) Leaving() bool { return s.leaving.Load() }
+// Stopping reports whether the server is about to stop.
+func (s *Server) Stopping() bool { return s.leaving.Load() }
 
-// Known reports whether declarations are in force.
-func (s *Server) Known() bool { return s.table.Load() != nil }
+// HasDeclarations reports whether declarations are in force.
+func (s *Server) HasDeclarations() bool { return s.table.Load() != nil }
 
 // Run serves until ctx ends, lets the balancer see it leave, and then lets open requests end.
 func (s *Server) Run(ctx context.Context, ready func()) error {
@@ -156,7 +156,7 @@
 
 // Dump returns the server's state.
 func (s *Server) Dump() any {
-	status := Status{Leaving: s.Leaving(), Open: s.open.Load()}
+	status := Status{Leaving: s.Stopping(), Open: s.open.Load()}
 	if t := s.table.Load(); t != nil {
 		status.Revision = t.Revision
 	}
--- a/router/internal/client/server_test.go
+++ b/router/internal/client/server_test.go
@@ -44,7 +44,7 @@
 	if d.result.Outcome != "" {
 		return d.result
 	}
-	if err := sink.Head(http.StatusOK, http.Header{}, 2); err != nil {
+	if err := sink.WriteHead(http.StatusOK, http.Header{}, 2); err != nil {
 		return direct.Result{Outcome: peer.OutcomeUnknown, Code: direct.CodeClientGone}
 	}
 	_ = sink.Write([]byte("ok"), false)
--- a/router/internal/direct/attempt.go
+++ b/router/internal/direct/attempt.go
@@ -33,12 +33,12 @@
 func (x *exchange) attempt(ctx context.Context, i members.Instance) attempt.Ending {
 	d := x.d
 	now := d.Clock.Now()
-	d.Ledger.Begin(i.ID)
+	d.InFlight.Begin(i.ID)
 	defer func() {
-		d.Ledger.End(i.ID)
+		d.InFlight.End(i.ID)
 		d.Queues.RequestEnded(d.Clock.Now(), x.Service)
 	}()
-	conn, err := d.Connections.Get(ctx, i, !x.Terms.Repeatable())
+	conn, err := d.Connections.Get(ctx, i, !x.RouteConfig.Repeatable())
 	if err != nil {
 		if ctx.Err() != nil {
 			return attempt.ClientGone
@@ -46,11 +46,11 @@
 		return attempt.NotSent
 	}
 	x.res.Upstream = i.ID
-	if x.Terms.Affinity {
+	if x.RouteConfig.Affinity {
 		d.Affinity.RecordUse(now, x.PromptBlocks, i.ID)
 	}
-	d.Silence.Begin(d.Clock.Now(), i.ID)
-	defer d.Silence.End(i.ID)
+	d.Unresponsive.Begin(d.Clock.Now(), i.ID)
+	defer d.Unresponsive.End(i.ID)
 	stop := context.AfterFunc(ctx, conn.Close)
 	watch := x.watch(conn)
 	res, err := conn.Do(x.outgoing(i))
@@ -60,7 +60,7 @@
 		conn.Close()
 		return x.unanswered(ctx, i, err)
 	}
-	d.Silence.ResponseReceived(d.Clock.Now(), i.ID)
+	d.Unresponsive.ResponseReceived(d.Clock.Now(), i.ID)
 	if x.res.FirstByte == 0 {
 		x.res.FirstByte = d.Clock.Now().Sub(x.Arrived)
 	}
@@ -77,11 +77,11 @@
 
 // outgoing returns the request as this attempt sends it.
 func (x *exchange) outgoing(i members.Instance) *upstream.Request {
-	out := x.Out
-	out.Header = maps.Clone(x.Out.Header)
+	out := x.Outbound
+	out.Header = maps.Clone(x.Outbound.Header)
 	x.d.Dialect.WriteAttempt(out.Header, call.Attempt{
 		Upstream:  i.ID,
-		Timeout:   x.TimeLeft(x.d.Clock.Now()),
+		Timeout:   x.Remaining(x.d.Clock.Now()),
 		Team:      x.Team,
 		Rank:      x.Rank,
 		LastEvent: x.relay.last,
@@ -117,7 +117,7 @@
 	if res.StatusCode >= http.StatusBadRequest {
 		return x.failed(ctx, i, res)
 	}
-	if x.Terms.Kind == settings.RouteStream && res.StatusCode == http.StatusOK {
+	if x.RouteConfig.Kind == settings.RouteStream && res.StatusCode == http.StatusOK {
 		return x.stream(ctx, i, res, watch)
 	}
 	return x.body(ctx, i, res)
@@ -189,7 +189,7 @@
 		return attempt.Complete, true
 	}
 	x.relay.headed = true
-	if err := x.sink.Head(res.StatusCode, res.Header, res.ContentLength); err != nil {
+	if err := x.sink.WriteHead(res.StatusCode, res.Header, res.ContentLength); err != nil {
 		return attempt.ClientGone, false
 	}
 	if err := x.sink.Write(body, false); err != nil {
@@ -230,7 +230,7 @@
 		if err != nil {
 			return x.broken(ctx, i, err), false
 		}
-		x.d.Silence.ResponseReceived(x.d.Clock.Now(), i.ID)
+		x.d.Unresponsive.ResponseReceived(x.d.Clock.Now(), i.ID)
 		watch.progress()
 		if err := x.relay.event(res, e, !events.Buffered()); err != nil {
 			var order *orderError
@@ -249,14 +249,14 @@
 }
 
 func (x *exchange) watch(conn *upstream.Conn) *watch {
-	if !x.Terms.Repeatable() || x.res.Runs+1 >= x.Terms.Attempts {
+	if !x.RouteConfig.Repeatable() || x.res.Runs+1 >= x.RouteConfig.Attempts {
 		return &watch{}
 	}
-	slow := max(minSlow, slowFactor*x.Terms.Objective)
-	if x.Terms.Kind == settings.RouteStream {
+	slow := max(minSlow, slowFactor*x.RouteConfig.Objective)
+	if x.RouteConfig.Kind == settings.RouteStream {
 		slow = max(minStall, slow)
 	}
-	w := &watch{pause: max(minStall, stallFactor*x.Terms.PauseObjective)}
+	w := &watch{pause: max(minStall, stallFactor*x.RouteConfig.PauseObjective)}
 	w.timer = time.AfterFunc(slow, conn.Close)
 	return w
 }
--- a/router/internal/direct/dispatch.go
+++ b/router/internal/direct/dispatch.go
@@ -49,20 +49,20 @@
 
 // Dispatcher takes requests to upstreams.
 type Dispatcher struct {
-	DataCentre  settings.DataCentre
-	Members     *members.Registry
-	Ledger      *inflight.Tracker
-	Affinity    *affinity.Index
-	Outliers    *outlier.Detector
-	Silence     *silence.Detector
-	Queues      *waiting.Queues
-	Budget      *retry.FleetBudget
-	Connections Connections
-	Dialect     Dialect
-	Cached      Cached
-	Clock       Clock
-	Log         *log.Logger
-	Scope       tally.Scope
+	DataCentre   settings.DataCentre
+	Members      *members.Registry
+	InFlight     *inflight.Tracker
+	Affinity     *affinity.Index
+	Outliers     *outlier.Detector
+	Unresponsive *silence.Detector
+	Queues       *waiting.Queues
+	Budget       *retry.FleetBudget
+	Connections  Connections
+	Dialect      Dialect
+	Warmup       Cached
+	Clock        Clock
+	Log          *log.Logger
+	Scope        tally.Scope
 }
 
 // Times of waiting between attempts.
@@ -93,20 +93,20 @@
 // Do takes a request to an upstream and its answer to the client.
 func (d *Dispatcher) Do(ctx context.Context, r *Request, sink Sink) Result {
 	now := d.Clock.Now()
-	ctx, cancel := context.WithTimeout(ctx, r.TimeLeft(now))
+	ctx, cancel := context.WithTimeout(ctx, r.Remaining(now))
 	defer cancel()
 	d.Budget.RecordRequest(now, r.Service)
 	x := &exchange{Request: r, d: d, sink: sink, relay: relay{sink: sink, last: r.LastEvent}}
 	x.run(ctx)
-	x.res.Headed = x.relay.headed
+	x.res.HeadSent = x.relay.headed
 	x.res.Events = x.relay.events
 	d.Scope.Tagged(map[string]string{"outcome": string(x.res.Outcome), "code": x.res.Code}).Counter("requests").Inc(1)
 	return x.res
 }
 
 func (x *exchange) run(ctx context.Context) {
-	if x.Terms.Affinity && x.SharedTokens() >= enginePolicy.LongPrefix {
-		x.d.Cached.Wait(ctx, warmWait)
+	if x.RouteConfig.Affinity && x.SharedTokens() >= enginePolicy.LongPrefix {
+		x.d.Warmup.Wait(ctx, warmWait)
 	}
 	for {
 		instance, ok := x.upstream(ctx)
@@ -115,15 +115,15 @@
 		}
 		ending := x.attempt(ctx, instance)
 		x.res.Last = ending
-		x.res.Tries++
+		x.res.Attempts++
 		x.note(ctx, instance, ending)
 		step := attempt.Next(attempt.State{
 			Ending:     ending,
-			Repeatable: x.Terms.Repeatable(),
+			Repeatable: x.RouteConfig.Repeatable(),
 			Runs:       x.res.Runs,
-			MaxRuns:    x.Terms.Attempts,
-			Attempts:   x.res.Tries,
-			Remaining:  x.TimeLeft(x.d.Clock.Now()),
+			MaxRuns:    x.RouteConfig.Attempts,
+			Attempts:   x.res.Attempts,
+			Remaining:  x.Remaining(x.d.Clock.Now()),
 		})
 		if step == attempt.Retry && !x.takeRepeat(instance, ending) {
 			step = attempt.Stop
@@ -138,7 +138,7 @@
 // takeRepeat asks the fleet's budget for a repeat.
 func (x *exchange) takeRepeat(i members.Instance, ending attempt.Ending) bool {
 	now := x.d.Clock.Now()
-	routers := x.d.Ledger.RouterCount(now)
+	routers := x.d.InFlight.RouterCount(now)
 	ok := x.d.Budget.Allow(now, x.Service, routers)
 	x.d.Log.Info("repeat", "request", x.ID, "upstream", i.ID, "ending", ending, "runs", x.res.Runs, "routers", routers, "allowed", ok)
 	return ok
@@ -152,10 +152,10 @@
 		instance, choice := x.d.place(now, x.Request, &x.tried)
 		switch {
 		case choice.Reason == placement.Chosen:
-			x.res.Waited += now.Sub(begun)
+			x.res.QueueTime += now.Sub(begun)
 			x.res.Choice = choice
 			return instance, true
-		case choice.Reason == placement.NoUpstream && x.res.Tries > 0:
+		case choice.Reason == placement.NoUpstream && x.res.Attempts > 0:
 			// No upstream is left that this request has not tried.
 			x.giveUp(ctx, CodeNoUpstream, defaultRetryAfter)
 			return members.Instance{}, false
@@ -170,7 +170,7 @@
 func (x *exchange) wait(ctx context.Context, reason placement.Reason, begun clock.Instant) bool {
 	now := x.d.Clock.Now()
 	if reason == placement.NoUpstream {
-		if now.Sub(begun) >= waiting.NoUpstreamWait(x.TimeLeft(begun)) {
+		if now.Sub(begun) >= waiting.NoUpstreamWait(x.Remaining(begun)) {
 			x.giveUp(ctx, CodeNoUpstream, defaultRetryAfter)
 			return false
 		}
@@ -199,9 +199,9 @@
 // waitLimit is when a request in line is given up: an answer that starts later than its objective is late anyway, and
 // the client can do better with the rest of its time.
 func (x *exchange) waitLimit(begun clock.Instant) clock.Instant {
-	limit := x.Terms.Objective
+	limit := x.RouteConfig.Objective
 	if limit == 0 {
-		limit = x.TimeLeft(begun) / 4
+		limit = x.Remaining(begun) / 4
 	}
 	return min(begun.Add(limit), x.Deadline)
 }
--- a/router/internal/direct/dispatch_test.go
+++ b/router/internal/direct/dispatch_test.go
@@ -139,7 +139,7 @@
 	body   strings.Builder
 }
 
-func (s *memorySink) Head(status int, _ http.Header, _ int64) error {
+func (s *memorySink) WriteHead(status int, _ http.Header, _ int64) error {
 	s.status = status
 	return nil
 }
@@ -164,11 +164,11 @@
 	t.Helper()
 	c := qt.New(t)
 	b := &bench{Dispatcher: &Dispatcher{
-		DataCentre: "kano", Members: &members.Registry{}, Ledger: &inflight.Tracker{}, Affinity: &affinity.Index{},
-		Outliers: &outlier.Detector{}, Silence: &silence.Detector{}, Queues: &waiting.Queues{},
+		DataCentre: "kano", Members: &members.Registry{}, InFlight: &inflight.Tracker{}, Affinity: &affinity.Index{},
+		Outliers: &outlier.Detector{}, Unresponsive: &silence.Detector{}, Queues: &waiting.Queues{},
 		Budget:      &retry.FleetBudget{Limits: retry.Limits{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}},
 		Connections: &upstream.Pool{Dialect: testDialect{}},
-		Dialect:     testDialect{}, Cached: warmCache{}, Clock: clock.Boot{}, Log: log.New(io.Discard), Scope: tally.NoopScope,
+		Dialect:     testDialect{}, Warmup: warmCache{}, Clock: clock.Boot{}, Log: log.New(io.Discard), Scope: tally.NoopScope,
 	}}
 	var list []members.Change
 	for i, s := range scripts {
@@ -194,8 +194,8 @@
 func (b *bench) do(terms settings.Route, id string) (Result, *memorySink) {
 	now := b.Clock.Now()
 	terms.Timeout = 3 * time.Second
-	r := &Request{Request: call.Request{ID: call.ID(id)}, Terms: terms, Service: "desk", Arrived: now, Deadline: now.Add(terms.Timeout)}
-	r.Out = upstream.Request{ID: r.ID, Method: http.MethodGet, URI: "/a/b?c=d", Host: "h.example", Header: http.Header{"Id": {id}}}
+	r := &Request{Request: call.Request{ID: call.ID(id)}, RouteConfig: terms, Service: "desk", Arrived: now, Deadline: now.Add(terms.Timeout)}
+	r.Outbound = upstream.Request{ID: r.ID, Method: http.MethodGet, URI: "/a/b?c=d", Host: "h.example", Header: http.Header{"Id": {id}}}
 	sink := &memorySink{}
 	return b.Do(context.Background(), r, sink), sink
 }
@@ -324,8 +324,8 @@
 	c := qt.New(t)
 	b := newBench(t, script{answer(200, "ok")})
 	now := b.Clock.Now()
-	r := &Request{Request: call.Request{ID: "r1"}, Terms: once, Service: "desk", Rank: 3, Arrived: now, Deadline: now.Add(time.Second)}
-	r.Out = upstream.Request{ID: r.ID, Method: http.MethodGet, URI: "/a/b", Host: "h.example", Header: http.Header{"Id": {"r1"}}}
+	r := &Request{Request: call.Request{ID: "r1"}, RouteConfig: once, Service: "desk", Rank: 3, Arrived: now, Deadline: now.Add(time.Second)}
+	r.Outbound = upstream.Request{ID: r.ID, Method: http.MethodGet, URI: "/a/b", Host: "h.example", Header: http.Header{"Id": {"r1"}}}
 	b.Do(context.Background(), r, &memorySink{})
 	c.Assert(b.upstreams[0].requests()[0].Header.Get("Rank"), qt.Equals, "3")
 }
@@ -394,7 +394,7 @@
 		b.do(once, "r1")
 	}()
 	ids := []settings.UpstreamID{"u0", "u1", "u2"}
-	for !b.Silence.Unresponsive(b.Clock.Now(), ids)[0] {
+	for !b.Unresponsive.Unresponsive(b.Clock.Now(), ids)[0] {
 		time.Sleep(10 * time.Millisecond)
 	}
 	for n := range 10 {
--- a/router/internal/direct/place.go
+++ b/router/internal/direct/place.go
@@ -76,10 +76,10 @@
 		candidates[i].Failed = slices.Contains(t.failed, ids[i])
 	}
 	policy := &plainPolicy
-	if r.Terms.Affinity {
+	if r.RouteConfig.Affinity {
 		policy = &enginePolicy
 	}
-	request := &placement.Request{DataCentre: d.DataCentre, SharedTokens: r.SharedTokens(), Affinity: r.Terms.Affinity}
+	request := &placement.Request{DataCentre: d.DataCentre, SharedTokens: r.SharedTokens(), Affinity: r.RouteConfig.Affinity}
 	choice := placement.Choose(policy, request, candidates)
 	if choice.Reason != placement.Chosen {
 		return members.Instance{}, choice
@@ -88,11 +88,11 @@
 }
 
 func (d *Dispatcher) candidates(now clock.Instant, r *Request, serving []members.Instance, ids []settings.UpstreamID) []placement.Candidate {
-	loads := d.Ledger.Loads(now, ids)
+	loads := d.InFlight.Loads(now, ids)
 	excluded := d.excluded(now, ids)
 	var held []settings.Tokens
 	ranks := make([]int, len(ids))
-	if r.Terms.Affinity {
+	if r.RouteConfig.Affinity {
 		held = d.Affinity.CachedTokens(now, r.sharedParts(), ids)
 		ranks = d.ranks(r, ids)
 	}
@@ -117,7 +117,7 @@
 // excluded reports, for each upstream, whether it should get no requests now: it fails more than others, or it answers
 // nothing. Where that leaves none, only silence counts, which never leaves out more than half of them.
 func (d *Dispatcher) excluded(now clock.Instant, ids []settings.UpstreamID) []bool {
-	silent := d.Silence.Unresponsive(now, ids)
+	silent := d.Unresponsive.Unresponsive(now, ids)
 	excluded := d.Outliers.Ejected(now, ids)
 	for i := range excluded {
 		excluded[i] = excluded[i] || silent[i]
--- a/router/internal/direct/relay.go
+++ b/router/internal/direct/relay.go
@@ -17,7 +17,7 @@
 }
 
 func (a *wholeAnswer) send(sink Sink) error {
-	if err := sink.Head(a.status, a.header, int64(len(a.body))); err != nil {
+	if err := sink.WriteHead(a.status, a.header, int64(len(a.body))); err != nil {
 		return err
 	}
 	return sink.Write(a.body, false)
@@ -72,7 +72,7 @@
 		return nil
 	}
 	r.headed = true
-	return r.sink.Head(res.StatusCode, res.Header, -1)
+	return r.sink.WriteHead(res.StatusCode, res.Header, -1)
 }
 
 // end closes the stream.
--- a/router/internal/direct/request.go
+++ b/router/internal/direct/request.go
@@ -16,25 +16,25 @@
 // Request is a client's request on its way to an upstream.
 type Request struct {
 	call.Request
-	Route    settings.RouteName
-	Terms    settings.Route
-	Service  settings.ServiceName
-	Team     settings.TeamID
-	Rank     int
-	Revision settings.Revision
+	Route       settings.RouteName
+	RouteConfig settings.Route
+	Service     settings.ServiceName
+	Team        settings.TeamID
+	Rank        int
+	Revision    settings.Revision
 	// Arrived is when the request was read, Deadline when the client or the route's timeout gives up.
 	Arrived, Deadline clock.Instant
-	// Out is the request as an upstream gets it, without what changes with each attempt.
-	Out upstream.Request
+	// Outbound is the request as an upstream gets it, without what changes with each attempt.
+	Outbound upstream.Request
 }
 
-// TimeLeft returns the time until the deadline.
-func (r *Request) TimeLeft(now clock.Instant) time.Duration { return r.Deadline.Sub(now) }
+// Remaining returns the time until the deadline.
+func (r *Request) Remaining(now clock.Instant) time.Duration { return r.Deadline.Sub(now) }
 
 // Sink takes an answer for the client.
 type Sink interface {
-	// Head begins the answer; length is the size of the body, or -1 where it is not known.
-	Head(status int, h http.Header, length int64) error
+	// WriteHead begins the answer; length is the size of the body, or -1 where it is not known.
+	WriteHead(status int, h http.Header, length int64) error
 	// Write adds to the body; flush says that nothing more has arrived yet.
 	Write(data []byte, flush bool) error
 }
@@ -59,14 +59,14 @@
 	RetryAfter time.Duration
 	Status     int
 	Upstream   settings.UpstreamID
-	// Runs is the number of upstreams that may have run the request, Tries the number of attempts.
-	Runs, Tries int
+	// Runs is the number of upstreams that may have run the request, Attempts the number of attempts.
+	Runs, Attempts int
 	// Events is the number of events that reached the client.
 	Events int
-	// Waited is the time in the queue for an upstream with room, FirstByte the time to the head of the answer.
-	Waited, FirstByte time.Duration
-	// Headed says that the client has got the head of an answer.
-	Headed bool
+	// QueueTime is the time in the queue for an upstream with room, FirstByte the time to the head of the answer.
+	QueueTime, FirstByte time.Duration
+	// HeadSent says that the client has got the head of an answer.
+	HeadSent bool
 	// Last is the ending of the last attempt, Choice what decided its upstream.
 	Last   attempt.Ending
 	Choice placement.Choice
--- a/router/internal/directory/watch.go
+++ b/router/internal/directory/watch.go
@@ -57,19 +57,19 @@
 	Now() clock.Instant
 }
 
-// Others knows what the other routers tell of the directory.
-type Others interface {
+// Routers knows what the other routers tell of the directory.
+type Routers interface {
 	// Pollers returns the routers that can read it.
 	Pollers() []readers.Candidate
 	// LastDirectoryRead returns when, at the latest, one of them knew the whole directory.
 	LastDirectoryRead() clock.Instant
 }
 
-// Watch follows the directory and keeps members and declarations in step.
-type Watch struct {
+// Watcher follows the directory and keeps members and declarations in step.
+type Watcher struct {
 	// Self is this router.
 	Self    readers.Candidate
-	Others  Others
+	Routers Routers
 	Source  Source
 	Store   *revision.Store
 	Offer   Offerer
@@ -78,8 +78,8 @@
 	Log     *log.Logger
 	Scope   tally.Scope
 	// OnEvents hears of changed instances, Tell of the changes that other routers should hear.
-	OnEvents func(source string, events []members.Event)
-	Tell     func(changes []members.Change)
+	OnEvents  func(source string, events []members.Event)
+	Broadcast func(changes []members.Change)
 
 	at    directory.Position
 	whole bool
@@ -93,10 +93,10 @@
 }
 
 // String returns the service's name.
-func (w *Watch) String() string { return "directory" }
+func (w *Watcher) String() string { return "directory" }
 
 // Run reads until ctx ends; it is ready at once, since the directory may be down for long.
-func (w *Watch) Run(ctx context.Context, ready func()) error {
+func (w *Watcher) Run(ctx context.Context, ready func()) error {
 	ready()
 	done := make(chan struct{})
 	go func() {
@@ -117,16 +117,16 @@
 }
 
 // reader reports whether this router reads the directory itself now.
-func (w *Watch) reader() bool {
+func (w *Watcher) reader() bool {
 	now := w.Clock.Now()
-	told := w.Others.LastDirectoryRead()
+	told := w.Routers.LastDirectoryRead()
 	w.mu.Lock()
 	w.informed = max(w.informed, told)
 	known := w.informed != 0
 	w.mu.Unlock()
 	_, fleet := w.Store.Current()
 	reads := !known || fleet == nil || !w.Members.Complete() ||
-		readers.Selected(readers.State{Self: w.Self, Others: w.Others.Pollers(), UpdateAge: now.Sub(told)})
+		readers.Selected(readers.State{Self: w.Self, Others: w.Routers.Pollers(), UpdateAge: now.Sub(told)})
 	if reads != w.reads {
 		w.reads = reads
 		w.Log.Info("directory reader", "reads", reads, "told", told != 0, "news_age_ms", newsAge(now, told).Milliseconds())
@@ -147,7 +147,7 @@
 
 // State returns how long ago this router has read the directory, and whether it cannot. What it was told does not count:
 // two routers that repeat each other's news would keep it young for ever.
-func (w *Watch) State() (age time.Duration, failing bool) {
+func (w *Watcher) State() (age time.Duration, failing bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.read == 0 {
@@ -156,7 +156,7 @@
 	return w.Clock.Now().Sub(w.read), w.failing
 }
 
-func (w *Watch) expire(ctx context.Context) {
+func (w *Watcher) expire(ctx context.Context) {
 	t := time.NewTicker(expireInterval)
 	defer t.Stop()
 	for {
@@ -167,13 +167,13 @@
 		}
 		if events := w.Members.Expire(w.Clock.Now()); len(events) > 0 {
 			w.OnEvents("expiry", events)
-			w.Tell(changesOf(events, nil))
+			w.Broadcast(changesOf(events, nil))
 		}
 	}
 }
 
 // step makes one call and the pause after it.
-func (w *Watch) step(ctx context.Context) {
+func (w *Watcher) step(ctx context.Context) {
 	u, err := w.call(ctx)
 	if ctx.Err() != nil {
 		return
@@ -194,7 +194,7 @@
 	}
 }
 
-func (w *Watch) call(ctx context.Context) (*directory.Update, error) {
+func (w *Watcher) call(ctx context.Context) (*directory.Update, error) {
 	if w.whole {
 		return w.Source.Watch(ctx, w.at, waitTime)
 	}
@@ -204,7 +204,7 @@
 }
 
 // took notes a call that succeeded and returns the present instant.
-func (w *Watch) took() clock.Instant {
+func (w *Watcher) took() clock.Instant {
 	now := w.Clock.Now()
 	w.Members.SetOutage(now, false)
 	w.mu.Lock()
@@ -217,7 +217,7 @@
 }
 
 // failed notes a call that failed and waits before the next.
-func (w *Watch) failed(ctx context.Context, err error) {
+func (w *Watcher) failed(ctx context.Context, err error) {
 	w.Scope.Counter("directory_failures").Inc(1)
 	var lost *directory.HistoryLostError
 	if errors.As(err, &lost) {
@@ -248,7 +248,7 @@
 }
 
 // apply takes an update in.
-func (w *Watch) apply(u *directory.Update) {
+func (w *Watcher) apply(u *directory.Update) {
 	for i := range u.Invalid {
 		w.Log.Warn("directory entry refused", "error", &u.Invalid[i])
 		w.Scope.Counter("directory_invalid_entries").Inc(1)
@@ -264,7 +264,7 @@
 	w.at = u.Position
 	if len(events) > 0 {
 		w.OnEvents("directory", events)
-		w.Tell(changesOf(events, u.Instances))
+		w.Broadcast(changesOf(events, u.Instances))
 	}
 	if u.Declarations != nil {
 		w.offer(u.Declarations, u.Revision)
@@ -295,7 +295,7 @@
 }
 
 // offer gives a version to the store, as the change from the version in force.
-func (w *Watch) offer(next *settings.Declarations, r settings.Revision) {
+func (w *Watcher) offer(next *settings.Declarations, r settings.Revision) {
 	for range 2 {
 		have, fleet := w.Store.Current()
 		if r <= have.Revision || w.Store.Refused(r) {
--- a/router/internal/engines/inventory.go
+++ b/router/internal/engines/inventory.go
@@ -37,8 +37,8 @@
 // maxAsking bounds the questions that are open at one time.
 const maxAsking = 8
 
-// Asker asks an engine which parts of prompts it keeps.
-type Asker interface {
+// CacheReader asks an engine which parts of prompts it keeps.
+type CacheReader interface {
 	CachedBlocks(ctx context.Context, i members.Instance) ([]call.PromptBlock, error)
 }
 
@@ -51,15 +51,15 @@
 	CacheQueriedByOthers(id settings.UpstreamID) bool
 }
 
-// Inventory recovers the directory of cached prompts after all routers have restarted at once. Each engine is asked by
+// Warmup recovers the directory of cached prompts after all routers have restarted at once. Each engine is asked by
 // one router, which tells the others.
-type Inventory struct {
+type Warmup struct {
 	// Address is where this router is reached, Named the routers that the settings name.
 	Address string
-	Named   []string
+	Seeds   []string
 	// FirstStart says that the whole system starts for the first time, with empty caches.
 	FirstStart bool
-	Asker      Asker
+	Cache      CacheReader
 	Routers    Routers
 	Members    *members.Registry
 	// Services returns the services whose upstreams cache prompts, nil while they are not known.
@@ -82,8 +82,8 @@
 	until clock.Instant
 }
 
-// Asked returns the engines that this router has just asked, for the others.
-func (v *Inventory) Asked() []settings.UpstreamID {
+// Queried returns the engines that this router has just asked, for the others.
+func (v *Warmup) Queried() []settings.UpstreamID {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if len(v.asked) == 0 || v.until < v.Clock.Now() {
@@ -93,12 +93,12 @@
 }
 
 // done is closed when the router may take requests.
-func (v *Inventory) done() chan struct{} {
+func (v *Warmup) done() chan struct{} {
 	v.prepare.Do(func() { v.warmed = make(chan struct{}) })
 	return v.warmed
 }
 
-func (v *Inventory) setWarm() {
+func (v *Warmup) setWarm() {
 	v.finish.Do(func() {
 		v.warm.Store(true)
 		close(v.done())
@@ -106,7 +106,7 @@
 }
 
 // Wait waits until the cached prompts are known, ctx ends or the time is up.
-func (v *Inventory) Wait(ctx context.Context, limit time.Duration) {
+func (v *Warmup) Wait(ctx context.Context, limit time.Duration) {
 	if v.warm.Load() {
 		return
 	}
@@ -120,16 +120,16 @@
 }
 
 // String returns the service's name.
-func (v *Inventory) String() string { return "inventory" }
+func (v *Warmup) String() string { return "inventory" }
 
 // Warm reports whether the router may take requests.
-func (v *Inventory) Warm() bool { return v.warm.Load() }
+func (v *Warmup) Warm() bool { return v.warm.Load() }
 
 // Complete reports whether the router knows the cached prompts well enough to tell them to one that starts.
-func (v *Inventory) Complete() bool { return v.complete.Load() }
+func (v *Warmup) Complete() bool { return v.complete.Load() }
 
 // Run makes one inventory and waits for ctx.
-func (v *Inventory) Run(ctx context.Context, ready func()) error {
+func (v *Warmup) Run(ctx context.Context, ready func()) error {
 	ready()
 	if !v.FirstStart && v.known(ctx) {
 		v.recover(ctx)
@@ -141,7 +141,7 @@
 }
 
 // recover learns the cached prompts from a router that remembers them, or from the engines.
-func (v *Inventory) recover(ctx context.Context) {
+func (v *Warmup) recover(ctx context.Context) {
 	timer := time.AfterFunc(warmTime, v.setWarm)
 	defer timer.Stop()
 	var wg sync.WaitGroup
@@ -155,7 +155,7 @@
 			v.Log.Info("cached prompts learnt from a router", "parts", v.Affinity.Size(), "after_ms", elapsed.Milliseconds())
 			return
 		case elapsed >= recoverTime, elapsed >= meetTime && v.ask(ctx, elapsed, asking, &wg):
-			v.Log.Info("inventory made", "engines", len(v.Asked()), "parts", v.Affinity.Size(), "after_ms", elapsed.Milliseconds())
+			v.Log.Info("inventory made", "engines", len(v.Queried()), "parts", v.Affinity.Size(), "after_ms", elapsed.Milliseconds())
 			return
 		}
 		if !clock.Sleep(ctx, pollTime) {
@@ -165,8 +165,8 @@
 }
 
 // ask begins to ask the engines that fall to this router, and reports whether all engines have been asked by somebody.
-func (v *Inventory) ask(ctx context.Context, elapsed time.Duration, asking chan struct{}, wg *sync.WaitGroup) bool {
-	state := recovery.State{Self: v.Address, Seeds: v.Named, Reachable: v.Routers.Reachable(), Elapsed: elapsed}
+func (v *Warmup) ask(ctx context.Context, elapsed time.Duration, asking chan struct{}, wg *sync.WaitGroup) bool {
+	state := recovery.State{Self: v.Address, Seeds: v.Seeds, Reachable: v.Routers.Reachable(), Elapsed: elapsed}
 	all := true
 	for _, i := range v.engines() {
 		if v.Routers.CacheQueriedByOthers(i.ID) || v.answered(i.ID) {
@@ -187,7 +187,7 @@
 }
 
 // begin reports whether the question to an engine is still to be asked and there is room for one more.
-func (v *Inventory) begin(id settings.UpstreamID, asking chan struct{}) bool {
+func (v *Warmup) begin(id settings.UpstreamID, asking chan struct{}) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.begun[id] {
@@ -205,14 +205,14 @@
 	return true
 }
 
-func (v *Inventory) answered(id settings.UpstreamID) bool {
+func (v *Warmup) answered(id settings.UpstreamID) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return slices.Contains(v.asked, id)
 }
 
 // known waits until declarations and instances are there.
-func (v *Inventory) known(ctx context.Context) bool {
+func (v *Warmup) known(ctx context.Context) bool {
 	for !v.Members.Complete() || v.Services() == nil {
 		if !clock.Sleep(ctx, pollTime) {
 			return false
@@ -222,7 +222,7 @@
 }
 
 // engines returns the instances that may cache prompts.
-func (v *Inventory) engines() []members.Instance {
+func (v *Warmup) engines() []members.Instance {
 	var list []members.Instance
 	for _, service := range v.Services() {
 		list = append(list, v.Members.Serving(service)...)
@@ -231,11 +231,11 @@
 }
 
 // askOne asks one engine; one that does not answer counts as asked, since its prompts are learnt as they are used.
-func (v *Inventory) askOne(ctx context.Context, i members.Instance) {
+func (v *Warmup) askOne(ctx context.Context, i members.Instance) {
 	ctx, cancel := context.WithTimeout(ctx, askTime)
 	defer cancel()
 	v.Scope.Counter("inventory_questions").Inc(1)
-	parts, err := v.Asker.CachedBlocks(ctx, i)
+	parts, err := v.Cache.CachedBlocks(ctx, i)
 	now := v.Clock.Now()
 	if err != nil {
 		v.Log.Warn("engine not in the inventory", "upstream", i.ID, "error", err)
--- a/router/internal/engines/inventory_test.go
+++ b/router/internal/engines/inventory_test.go
@@ -45,15 +45,15 @@
 func (r *fakeRouters) CacheEntriesReceived() bool                       { return r.warm }
 func (r *fakeRouters) CacheQueriedByOthers(id settings.UpstreamID) bool { return r.asked[id] }
 
-func newInventory(address string, asker Asker, routers *fakeRouters) *Inventory {
+func newInventory(address string, asker CacheReader, routers *fakeRouters) *Warmup {
 	book := &members.Registry{}
 	var list []members.Change
 	for _, id := range []settings.UpstreamID{"e1", "e2", "e3", "e4", "e5", "e6"} {
 		list = append(list, members.Change{ID: id, Revision: 1, Instance: members.Instance{ID: id, Service: "letters"}})
 	}
 	book.Replace(1, 1, list)
-	return &Inventory{
-		Address: address, Named: []string{"a", "b", "c"}, Asker: asker, Routers: routers, Members: book, Affinity: &affinity.Index{}, Clock: clock.Boot{},
+	return &Warmup{
+		Address: address, Seeds: []string{"a", "b", "c"}, Cache: asker, Routers: routers, Members: book, Affinity: &affinity.Index{}, Clock: clock.Boot{},
 		Services: func() []settings.ServiceName { return []settings.ServiceName{"letters"} },
 		Log:      log.New(io.Discard), Scope: tally.NoopScope,
 	}
@@ -61,7 +61,7 @@
 
 // askAll lets a router ask the engines that fall to it at a time after its start, and waits for the answers; it reports
 // whether every engine has been asked.
-func askAll(v *Inventory, elapsed time.Duration) bool {
+func askAll(v *Warmup, elapsed time.Duration) bool {
 	var wg sync.WaitGroup
 	all := v.ask(context.Background(), elapsed, make(chan struct{}, maxAsking), &wg)
 	wg.Wait()
@@ -89,7 +89,7 @@
 	asked := map[settings.UpstreamID]bool{"e1": true, "e2": true, "e3": true, "e4": true}
 	later := newInventory("a", asker, &fakeRouters{asked: asked})
 	c.Assert(askAll(later, recovery.TakeoverDelay), qt.IsFalse)
-	c.Assert(later.Asked(), qt.HasLen, 2)
+	c.Assert(later.Queried(), qt.HasLen, 2)
 	c.Assert(askAll(later, recovery.TakeoverDelay), qt.IsTrue)
 	c.Assert(asker.asked, qt.HasLen, 2)
 }
--- a/router/internal/routers/news.go
+++ b/router/internal/routers/news.go
@@ -45,8 +45,8 @@
 	s.stamps = slices.Delete(s.stamps, 0, drop)
 }
 
-// Tell queues changes of instances for every other router.
-func (s *Service) Tell(changes []members.Change) {
+// Broadcast queues changes of instances for every other router.
+func (s *Service) Broadcast(changes []members.Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range s.routers {
@@ -61,12 +61,12 @@
 func (s *Service) state(r *router, asking, allHoldings bool) *peer.RouterState {
 	now := s.Clock.Now()
 	state := &peer.RouterState{
-		Router: s.ID, Address: s.Address, Incarnation: s.Incarnation, Cores: s.Cores, Open: s.Ledger.Local(),
-		Responsiveness: s.Silence.Local(now), HasCacheEntries: s.KnowsHoldings(),
+		Router: s.ID, Address: s.Address, Incarnation: s.Incarnation, Cores: s.Cores, Open: s.InFlight.Local(),
+		Responsiveness: s.Unresponsive.Local(now), HasCacheEntries: s.HasCacheEntries(),
 	}
-	state.CacheQueried = s.Inventoried()
+	state.CacheQueried = s.CacheQueried()
 	// The age is taken before the changes are, so that it never vouches for changes that are not told.
-	state.DirectoryAge, state.DirectoryFailing = s.Directory()
+	state.DirectoryAge, state.DirectoryFailing = s.DirectoryState()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for address, other := range s.routers {
@@ -96,8 +96,8 @@
 // learn takes in another router's state.
 func (s *Service) learn(m *peer.RouterState) {
 	now := s.Clock.Now()
-	s.Ledger.Report(now, m.Router, m.Open)
-	s.Silence.Report(now, m.Router, m.Open, m.Responsiveness)
+	s.InFlight.Report(now, m.Router, m.Open)
+	s.Unresponsive.Report(now, m.Router, m.Open, m.Responsiveness)
 	holdings, err := affinity.Unpack(m.CacheEntries)
 	if err != nil {
 		s.Log.Warn("cached prompts of a router refused", "router", m.Router, "error", err)
@@ -110,7 +110,7 @@
 	}
 	if len(events) > 0 {
 		s.OnEvents(string(m.Router), events)
-		s.Tell(changed(m.Members, events))
+		s.Broadcast(changed(m.Members, events))
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/router/internal/routers/service.go
+++ b/router/internal/routers/service.go
@@ -86,22 +86,22 @@
 	Address     string
 	Incarnation peer.Incarnation
 	// Cores is the processor that the VM gives this router, in cores; 0 where it is not known.
-	Cores    float64
-	Seeds    []string
-	Dialer   Dialer
-	Ledger   *inflight.Tracker
-	Silence  *silence.Detector
-	Affinity *affinity.Index
-	Members  *members.Registry
-	Clock    Clock
-	Log      *log.Logger
-	Scope    tally.Scope
-	// KnowsHoldings reports whether this router knows which prompts are cached where.
-	KnowsHoldings func() bool
-	// Directory returns how long ago this router has read the directory, and whether it cannot.
-	Directory func() (age time.Duration, failing bool)
-	// Inventoried returns the upstreams whose cached prompts this router has just asked for.
-	Inventoried func() []settings.UpstreamID
+	Cores        float64
+	Seeds        []string
+	Dialer       Dialer
+	InFlight     *inflight.Tracker
+	Unresponsive *silence.Detector
+	Affinity     *affinity.Index
+	Members      *members.Registry
+	Clock        Clock
+	Log          *log.Logger
+	Scope        tally.Scope
+	// HasCacheEntries reports whether this router knows which prompts are cached where.
+	HasCacheEntries func() bool
+	// DirectoryState returns how long ago this router has read the directory, and whether it cannot.
+	DirectoryState func() (age time.Duration, failing bool)
+	// CacheQueried returns the upstreams whose cached prompts this router has just asked for.
+	CacheQueried func() []settings.UpstreamID
 	// OnEvents hears of what another router's news changed.
 	OnEvents func(source string, events []members.Event)
 
@@ -243,7 +243,7 @@
 
 // wants reports whether this router should ask another one for all cached prompts; the caller holds the lock.
 func (s *Service) wants(r *router) bool {
-	return r.knows && !s.wanting && !s.learnt && !s.KnowsHoldings()
+	return r.knows && !s.wanting && !s.learnt && !s.HasCacheEntries()
 }
 
 // beginWanting reports whether an exchange that begins now should ask for all cached prompts.
@@ -315,7 +315,7 @@
 	r.heard = s.Clock.Now()
 	s.mu.Unlock()
 	s.learn(v)
-	if err := st.Send(ctx, s.state(r, false, v.WantsCacheEntries && s.KnowsHoldings())); err != nil {
+	if err := st.Send(ctx, s.state(r, false, v.WantsCacheEntries && s.HasCacheEntries())); err != nil {
 		s.Log.Debug("answering a router", "router", v.Router, "error", err)
 	}
 	return true
--- a/router/internal/routers/service_test.go
+++ b/router/internal/routers/service_test.go
@@ -62,11 +62,11 @@
 		}
 		one.service = &Service{
 			ID: inflight.RouterID(id), Address: address, Cores: float64(i + 1), Incarnation: peer.Incarnation(id), Seeds: []string{seed},
-			Dialer: one.endpoint, Ledger: one.ledger, Silence: &silence.Detector{}, Affinity: one.affinity, Members: one.members, Clock: clock.Boot{},
-			Log: log.New(io.Discard), Scope: tally.NoopScope, KnowsHoldings: func() bool { return true },
-			Directory:   func() (time.Duration, bool) { return 0, false },
-			Inventoried: func() []settings.UpstreamID { return nil },
-			OnEvents:    func(string, []members.Event) {},
+			Dialer: one.endpoint, InFlight: one.ledger, Unresponsive: &silence.Detector{}, Affinity: one.affinity, Members: one.members, Clock: clock.Boot{},
+			Log: log.New(io.Discard), Scope: tally.NoopScope, HasCacheEntries: func() bool { return true },
+			DirectoryState: func() (time.Duration, bool) { return 0, false },
+			CacheQueried:   func() []settings.UpstreamID { return nil },
+			OnEvents:       func(string, []members.Event) {},
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -135,7 +135,7 @@
 	nodes[1].affinity.RecordUse(clock.Boot{}.Now(), parts, "engine-1")
 	change := members.Change{ID: "engine-1", Revision: 7, Instance: members.Instance{ID: "engine-1", Service: "letters"}}
 	nodes[1].members.ApplyRelayed(clock.Boot{}.Now(), []members.Change{change})
-	nodes[1].service.Tell([]members.Change{change})
+	nodes[1].service.Broadcast([]members.Change{change})
 	eventually(t, func() bool {
 		return !slices.ContainsFunc(nodes, func(n *node) bool {
 			held := n.affinity.CachedTokens(clock.Boot{}.Now(), parts, []settings.UpstreamID{"engine-1"})
@@ -157,9 +157,9 @@
 func TestOnlyARouterThatStartsIsToldAllPrompts(t *testing.T) {
 	c := qt.New(t)
 	s := &Service{
-		ID: "a", Address: "127.0.0.1:1", Ledger: &inflight.Tracker{}, Silence: &silence.Detector{}, Affinity: &affinity.Index{}, Members: &members.Registry{},
-		Clock: clock.Boot{}, KnowsHoldings: func() bool { return true }, Directory: func() (time.Duration, bool) { return 0, false },
-		Inventoried: func() []settings.UpstreamID { return nil },
+		ID: "a", Address: "127.0.0.1:1", InFlight: &inflight.Tracker{}, Unresponsive: &silence.Detector{}, Affinity: &affinity.Index{}, Members: &members.Registry{},
+		Clock: clock.Boot{}, HasCacheEntries: func() bool { return true }, DirectoryState: func() (time.Duration, bool) { return 0, false },
+		CacheQueried: func() []settings.UpstreamID { return nil },
 	}
 	now := clock.Boot{}.Now()
 	for i := range 100 {
@@ -179,9 +179,9 @@
 func TestRouterThatBecomesKnownLaterHearsTheLatestNews(t *testing.T) {
 	c := qt.New(t)
 	s := &Service{
-		ID: "a", Address: "127.0.0.1:1", Ledger: &inflight.Tracker{}, Silence: &silence.Detector{}, Affinity: &affinity.Index{}, Members: &members.Registry{},
-		Clock: clock.Boot{}, KnowsHoldings: func() bool { return true }, Directory: func() (time.Duration, bool) { return 0, false },
-		Inventoried: func() []settings.UpstreamID { return nil },
+		ID: "a", Address: "127.0.0.1:1", InFlight: &inflight.Tracker{}, Unresponsive: &silence.Detector{}, Affinity: &affinity.Index{}, Members: &members.Registry{},
+		Clock: clock.Boot{}, HasCacheEntries: func() bool { return true }, DirectoryState: func() (time.Duration, bool) { return 0, false },
+		CacheQueried: func() []settings.UpstreamID { return nil },
 	}
 	s.Affinity.RecordUse(clock.Boot{}.Now(), []call.PromptBlock{{ID: 9, Tokens: 10}}, "engine-1")
 	s.spreadHoldings()
@@ -196,7 +196,7 @@
 // other router at once.
 func TestOneExchangeAtATimeWantsAllPrompts(t *testing.T) {
 	c := qt.New(t)
-	s := &Service{KnowsHoldings: func() bool { return false }}
+	s := &Service{HasCacheEntries: func() bool { return false }}
 	c.Assert(s.beginWanting(&router{}), qt.IsFalse, qt.Commentf("a router that knows no prompts is not asked"))
 	r := &router{knows: true}
 	c.Assert(s.beginWanting(r), qt.IsTrue)
--- a/router/internal/sides/attempt.go
+++ b/router/internal/sides/attempt.go
@@ -105,7 +105,7 @@
 		Offset:        p.events,
 		Redirected:    step.Redirected || p.moves > 0,
 		Moves:         p.moves,
-		LastCandidate: step.Last,
+		LastCandidate: step.LastCandidate,
 		CacheOwner:    p.holder,
 	}
 }
--- a/router/internal/sides/dispatch.go
+++ b/router/internal/sides/dispatch.go
@@ -81,7 +81,7 @@
 	}
 }
 
-func (d *Dispatcher) walk(c *Call, hint settings.UpstreamID) route.Walk {
+func (d *Dispatcher) walk(c *Call, hint settings.UpstreamID) route.Order {
 	key := c.Chat
 	if key == 0 {
 		// Calls that are no chats return to nothing and are spread.
--- a/router/internal/sides/search.go
+++ b/router/internal/sides/search.go
@@ -16,7 +16,7 @@
 	d       *Dispatcher
 	c       *Call
 	p       *progress
-	walk    route.Walk
+	walk    route.Order
 	retries int
 	// refusal is the latest refusal, and unreachable says that a side could not be reached in this walk.
 	refusal     *peer.Refuse
@@ -27,8 +27,8 @@
 func (s *search) attempted(ctx context.Context, step route.Step, r report) (Result, bool) {
 	switch r.ending {
 	case endDone:
-		s.d.tellHome(ctx, s.c, s.walk.Home(), step.Side)
-		return Result{Outcome: peer.OutcomeDone, Side: step.Side, Asks: s.walk.Asks()}, true
+		s.d.tellHome(ctx, s.c, s.walk.Primary(), step.Side)
+		return Result{Outcome: peer.OutcomeDone, Side: step.Side, Asks: s.walk.Requests()}, true
 	case endCaller:
 		return callerGone(ctx), true
 	case endRefused:
@@ -59,9 +59,9 @@
 		s.p.holder = r.CacheOwner
 	}
 	s.d.note(step.Side, r)
-	s.walk.Refused(r.Next)
+	s.walk.Prepend(r.Next)
 	if r.Code == peer.RefuseOverloaded {
-		s.walk.Loaded(step.Side, settings.Tokens(r.Load))
+		s.walk.RecordOverloaded(step.Side, settings.Tokens(r.Load))
 	}
 }
 
@@ -128,7 +128,7 @@
 
 // given is the result of a call that is given up: it was not run only if no attempt has started.
 func (s *search) given(code string) Result {
-	r := Result{Outcome: peer.OutcomeNotRun, Code: code, Asks: s.walk.Asks()}
+	r := Result{Outcome: peer.OutcomeNotRun, Code: code, Asks: s.walk.Requests()}
 	if s.p.started || s.p.written {
 		r.Outcome = peer.OutcomeUnknown
 		if code == CodeUnreachable {
