--- a/side/internal/app/app.go
+++ b/side/internal/app/app.go
@@ -31,7 +31,7 @@
 	metrics  *operator.Metrics
 	store    *revision.Store
 	endpoint *peer.Endpoint
-	door     *router.Door
+	door     *router.Server
 	sides    *sides.Service
 	spread   *spread.Service
 	client   *upstream.Client
@@ -55,7 +55,7 @@
 	}
 	s := &Side{cfg: cfg, log: l, metrics: operator.NewMetrics("side"), store: &revision.Store{}}
 	s.client = upstream.New(cfg.URL)
-	s.door = &router.Door{
+	s.door = &router.Server{
 		Self:     cfg.Upstream,
 		Clock:    clock.Boot{},
 		Upstream: s.client,
@@ -71,9 +71,9 @@
 		Identity: identity,
 		OnReject: func(err error) { l.Warn("peer turned away", "error", err) },
 	}
-	prefixes := sides.NewPrefixes(s.endpoint, s.client)
+	prefixes := sides.NewPrefixTransfer(s.endpoint, s.client)
 	s.door.Prefixes = prefixes
-	s.sides = &sides.Service{Door: s.door, Dialer: s.endpoint, Prefixes: prefixes}
+	s.sides = &sides.Service{Admission: s.door, Dialer: s.endpoint, Prefixes: prefixes}
 	s.spread = &spread.Service{Store: s.store, Dialer: s.endpoint, Log: l, Candidates: s.candidates}
 	return s, nil
 }
@@ -115,7 +115,7 @@
 func (s *Side) Run(ctx context.Context) error {
 	defer func() { _ = s.metrics.Close() }()
 	defer s.client.Close()
-	s.store.Watch(s.door.Declare)
+	s.store.Watch(s.door.ApplyDeclarations)
 	k := &kernel.Kernel{}
 	k.Add(
 		&operator.Server{
@@ -168,7 +168,7 @@
 	d.side.door.Drain(work)
 	last, cancelLast := context.WithTimeout(context.Background(), leavingTime)
 	defer cancelLast()
-	d.side.sides.Bequeath(last)
+	d.side.sides.HandOver(last)
 	// What routers sent before they had the notice is refused, and the refusal must reach them.
 	time.Sleep(time.Until(noticed.Add(lingerTime)))
 	d.side.log.Info("side drained")
--- a/side/internal/router/door.go
+++ b/side/internal/router/door.go
@@ -39,8 +39,8 @@
 	Fetch(ctx context.Context, address string, chat uint64) (settings.Tokens, error)
 }
 
-// Door is the one way to an upstream: every request for it passes here.
-type Door struct {
+// Server is the one way to an upstream: every request for it passes here.
+type Server struct {
 	Self     settings.UpstreamID
 	Clock    Clock
 	Upstream Runner
@@ -76,8 +76,8 @@
 	shedWake    chan struct{}
 }
 
-// Declare puts an accepted version of the declarations in force.
-func (d *Door) Declare(c revision.Change) {
+// ApplyDeclarations puts an accepted version of the declarations in force.
+func (d *Server) ApplyDeclarations(c revision.Change) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	before := d.fleet
@@ -112,7 +112,7 @@
 }
 
 // homesChange tells the homes what changed of this service's declared upstreams.
-func (d *Door) homesChange(before *settings.Declarations, c revision.Change) outcome.Change {
+func (d *Server) homesChange(before *settings.Declarations, c revision.Change) outcome.Change {
 	change := outcome.Change{
 		Revision:  c.Version.Revision,
 		Set:       d.set,
@@ -135,7 +135,7 @@
 }
 
 // serviceOf returns the service that an upstream belongs or belonged to, or "" when that is not known.
-func (d *Door) serviceOf(id settings.UpstreamID, before, now *settings.Declarations) settings.ServiceName {
+func (d *Server) serviceOf(id settings.UpstreamID, before, now *settings.Declarations) settings.ServiceName {
 	if u, ok := now.Upstreams[id]; ok && u.Service == d.name {
 		return d.name
 	}
@@ -148,7 +148,7 @@
 }
 
 // ExchangeSample merges another side's sample into the estimate and returns the sample from here.
-func (d *Door) ExchangeSample(other *mean.Sample) mean.Sample {
+func (d *Server) ExchangeSample(other *mean.Sample) mean.Sample {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock.Now()
@@ -161,7 +161,7 @@
 }
 
 // MergeSample takes in the answer to an exchange that was begun here.
-func (d *Door) MergeSample(other mean.Sample) {
+func (d *Server) MergeSample(other mean.Sample) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.admission.Estimator.Merge(d.Clock.Now(), d.admission.Load(), other)
@@ -169,7 +169,7 @@
 
 // Siblings returns the addresses of the other declared sides of the same service, and the service; callers must not
 // change the list.
-func (d *Door) Siblings() (settings.ServiceName, []string) {
+func (d *Server) Siblings() (settings.ServiceName, []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.name, d.siblings
@@ -179,7 +179,7 @@
 const maxFormer = 256
 
 // rememberFormer keeps the addresses of sides that a change takes out of the declarations; the caller holds the lock.
-func (d *Door) rememberFormer(before, now *settings.Declarations) {
+func (d *Server) rememberFormer(before, now *settings.Declarations) {
 	if before == nil {
 		return
 	}
@@ -194,7 +194,7 @@
 }
 
 // setUpstreams takes in the declared upstreams of the service; the caller holds the lock.
-func (d *Door) setUpstreams(f *settings.Declarations) {
+func (d *Server) setUpstreams(f *settings.Declarations) {
 	d.set = rank.New(f.UpstreamsOf(d.name))
 	d.siblings = make([]string, 0, d.set.Len())
 	for _, id := range d.set.IDs() {
@@ -205,40 +205,40 @@
 }
 
 // Forget drops what is known of a side that is leaving.
-func (d *Door) Forget(side settings.UpstreamID) {
+func (d *Server) Forget(side settings.UpstreamID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.admission.Estimator.Forget(side)
 }
 
 // Leave refuses new work from now on.
-func (d *Door) Leave() {
+func (d *Server) Leave() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.leaving = true
 }
 
 // Leaving reports whether new work is refused.
-func (d *Door) Leaving() bool {
+func (d *Server) Leaving() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.isLeaving(d.Clock.Now())
 }
 
 // isLeaving reports whether new work is refused; the caller holds the lock.
-func (d *Door) isLeaving(now clock.Instant) bool {
+func (d *Server) isLeaving(now clock.Instant) bool {
 	return d.leaving || now.Before(d.listedUntil)
 }
 
 // ListedLeaving notes a router's word that the VM list shows this VM leaving; it holds until it is no longer renewed.
-func (d *Door) ListedLeaving() {
+func (d *Server) ListedLeaving() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.listedUntil = d.Clock.Now().Add(peer.LeavingLease)
 }
 
 // Drain waits until all work has ended, and cuts what has not when ctx ends.
-func (d *Door) Drain(ctx context.Context) {
+func (d *Server) Drain(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		d.work.Wait()
@@ -258,7 +258,7 @@
 }
 
 // startNext gives free slots to waiting jobs; the caller holds the lock.
-func (d *Door) startNext() {
+func (d *Server) startNext() {
 	for {
 		it := d.scheduler.Pop(d.Clock.Now())
 		if it == nil {
@@ -269,7 +269,7 @@
 }
 
 // decodeGuess returns the expected length of an answer; the caller holds the lock.
-func (d *Door) decodeGuess(name settings.ProfileName, p settings.Profile) settings.Tokens {
+func (d *Server) decodeGuess(name settings.ProfileName, p settings.Profile) settings.Tokens {
 	if learned, ok := d.answers[name]; ok {
 		return learned
 	}
@@ -277,7 +277,7 @@
 }
 
 // learn takes the length of an answer into the profile's mean; the caller holds the lock.
-func (d *Door) learn(name settings.ProfileName, p settings.Profile, answer settings.Tokens) {
+func (d *Server) learn(name settings.ProfileName, p settings.Profile, answer settings.Tokens) {
 	if d.answers == nil {
 		d.answers = make(map[settings.ProfileName]settings.Tokens)
 	}
@@ -286,6 +286,6 @@
 }
 
 // retryAfter tells a refused caller when to come back, from the present queue; the caller holds the lock.
-func (d *Door) retryAfter() time.Duration {
+func (d *Server) retryAfter() time.Duration {
 	return max(time.Second, d.scheduler.Wait())
 }
--- a/side/internal/router/dump.go
+++ b/side/internal/router/dump.go
@@ -27,10 +27,10 @@
 }
 
 // String returns the name under which the door is dumped.
-func (d *Door) String() string { return "door" }
+func (d *Server) String() string { return "door" }
 
 // Dump returns the door's state.
-func (d *Door) Dump() any {
+func (d *Server) Dump() any {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock.Now()
--- a/side/internal/router/handover.go
+++ b/side/internal/router/handover.go
@@ -27,14 +27,14 @@
 	at       clock.Instant
 }
 
-// Question is a claim and the address of the side to ask.
-type Question struct {
+// PendingClaim is a claim and the address of the side to ask.
+type PendingClaim struct {
 	Claim   *peer.Claim
 	Address string
 }
 
 // PendingClaims returns the questions whose answers are missing.
-func (d *Door) PendingClaims() []Question {
+func (d *Server) PendingClaims() []PendingClaim {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.fleet == nil || d.service.Kind != settings.KindPlain {
@@ -42,21 +42,21 @@
 	}
 	now := d.Clock.Now()
 	fresh := now.Sub(d.Started) < freshTime
-	var list []Question
+	var list []PendingClaim
 	for _, w := range d.homes.MissingAcks(now) {
 		address, ok := d.lastAddress(w.From)
 		if !ok {
 			continue
 		}
 		claim := &peer.Claim{From: d.Self, Service: d.name, Ended: w.Ended, Restarted: fresh}
-		list = append(list, Question{Claim: claim, Address: address})
+		list = append(list, PendingClaim{Claim: claim, Address: address})
 	}
 	return list
 }
 
 // lastAddress returns where a side was last declared to be; the caller holds the lock. A side that was taken out of the
 // declarations must still be asked.
-func (d *Door) lastAddress(id settings.UpstreamID) (string, bool) {
+func (d *Server) lastAddress(id settings.UpstreamID) (string, bool) {
 	if u, ok := d.fleet.Upstreams[id]; ok {
 		return u.Side, !u.Destroyed
 	}
@@ -65,7 +65,7 @@
 }
 
 // ApplyHandover takes in another side's answer to a claim.
-func (d *Door) ApplyHandover(h *peer.Handover) {
+func (d *Server) ApplyHandover(h *peer.Handover) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock.Now()
@@ -84,7 +84,7 @@
 }
 
 // AnswerClaim hands over the records that a claiming side is now home of; it is nil while that cannot be done yet.
-func (d *Door) AnswerClaim(c *peer.Claim) []*peer.Handover {
+func (d *Server) AnswerClaim(c *peer.Claim) []*peer.Handover {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if c.Service != d.name || d.revision < c.Ended {
@@ -115,7 +115,7 @@
 }
 
 // belongsTo reports whether a caller's key has the given home; the caller holds the lock.
-func (d *Door) belongsTo(key string, side settings.UpstreamID) bool {
+func (d *Server) belongsTo(key string, side settings.UpstreamID) bool {
 	if strings.Contains(key, ticketMark) {
 		return false
 	}
@@ -124,7 +124,7 @@
 }
 
 // Handover returns what to leave with another side when this one has stopped all work.
-func (d *Door) Handover() *peer.Handover {
+func (d *Server) Handover() *peer.Handover {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.service.Kind != settings.KindPlain {
@@ -142,7 +142,7 @@
 }
 
 // KeepHandover holds another side's handover until its successor claims it.
-func (d *Door) KeepHandover(h *peer.Handover) {
+func (d *Server) KeepHandover(h *peer.Handover) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !h.Complete || h.Service != d.name || len(d.handovers) >= maxHandovers {
--- a/side/internal/router/prefix.go
+++ b/side/internal/router/prefix.go
@@ -11,7 +11,7 @@
 const fetchLimit = 2 * time.Second
 
 // fetchPrefix brings a job's prefix from the side that holds it, and corrects the job's charge by what is missing.
-func (d *Door) fetchPrefix(j *job) {
+func (d *Server) fetchPrefix(j *job) {
 	holder := j.verdict.ImportFrom
 	if holder == "" {
 		return
@@ -33,7 +33,7 @@
 	d.Scope.Counter("prefix_tokens_imported").Inc(int64(got))
 }
 
-func (d *Door) address(id settings.UpstreamID) (string, bool) {
+func (d *Server) address(id settings.UpstreamID) (string, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	u, ok := d.fleet.Upstreams[id]
--- a/side/internal/router/run.go
+++ b/side/internal/router/run.go
@@ -13,7 +13,7 @@
 )
 
 // run hands a job to the upstream and passes the answer on.
-func (d *Door) run(ctx context.Context, st *peer.Stream, j *job) {
+func (d *Server) run(ctx context.Context, st *peer.Stream, j *job) {
 	call, err := d.call(j)
 	if err != nil || !d.handOver(j) {
 		d.abandon(j)
@@ -22,7 +22,7 @@
 	}
 	sink := &jobSink{door: d, job: j, ctx: ctx, stream: st}
 	usage, err := d.Upstream.Run(j.ctx, call, sink)
-	var unsent *upstream.NotHandedOverError
+	var unsent *upstream.NotSentError
 	if errors.As(err, &unsent) {
 		d.abandon(j)
 		d.Log.Warn("upstream unreachable", "request", j.submit.Request, "error", err)
@@ -49,7 +49,7 @@
 }
 
 // call builds the upstream request of a job.
-func (d *Door) call(j *job) (upstream.Call, error) {
+func (d *Server) call(j *job) (upstream.Call, error) {
 	d.mu.Lock()
 	service := d.service
 	d.mu.Unlock()
@@ -69,7 +69,7 @@
 }
 
 // handOver makes the last checks before the first byte goes to the upstream, in one step with noting the start.
-func (d *Door) handOver(j *job) bool {
+func (d *Server) handOver(j *job) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock.Now()
@@ -84,7 +84,7 @@
 }
 
 // finish records the result of a run.
-func (d *Door) finish(j *job, usage upstream.Usage, err error) {
+func (d *Server) finish(j *job, usage upstream.Usage, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock.Now()
@@ -103,7 +103,7 @@
 }
 
 // remember notes which prefix the engine holds now; the caller holds the lock.
-func (d *Door) remember(j *job, usage upstream.Usage) {
+func (d *Server) remember(j *job, usage upstream.Usage) {
 	if j.submit.Chat == 0 {
 		return
 	}
@@ -113,7 +113,7 @@
 	}
 }
 
-func (d *Door) end(j *job, err error) *peer.End {
+func (d *Server) end(j *job, err error) *peer.End {
 	end := &peer.End{Attempt: j.submit.Attempt, Outcome: peer.OutcomeDone, Chunks: j.chunks.Load()}
 	if err == nil {
 		return end
@@ -126,7 +126,7 @@
 }
 
 // repeat answers a submission whose key has run or is running already.
-func (d *Door) repeat(ctx context.Context, st *peer.Stream, j *job, step outcome.Step) {
+func (d *Server) repeat(ctx context.Context, st *peer.Stream, j *job, step outcome.Step) {
 	switch step {
 	case outcome.StepBodyDiffers:
 		_ = st.Send(ctx, &peer.Refuse{Code: peer.RefuseKeyReused, KeyNotRun: true})
@@ -151,7 +151,7 @@
 
 // jobSink passes a job's answer to the router and keeps what may be asked for again.
 type jobSink struct {
-	door   *Door
+	door   *Server
 	job    *job
 	ctx    context.Context
 	stream *peer.Stream
--- a/side/internal/router/serve.go
+++ b/side/internal/router/serve.go
@@ -8,7 +8,7 @@
 )
 
 // Serve answers a router's message; it reports false for messages of other services.
-func (d *Door) Serve(ctx context.Context, st *peer.Stream, m peer.Message) bool {
+func (d *Server) Serve(ctx context.Context, st *peer.Stream, m peer.Message) bool {
 	switch v := m.(type) {
 	case *peer.Submit:
 		d.submit(ctx, st, v)
@@ -25,7 +25,7 @@
 }
 
 // query tells whether an attempt has started, and withdraws it if not.
-func (d *Door) query(q *peer.AttemptQuery) *peer.AttemptState {
+func (d *Server) query(q *peer.AttemptQuery) *peer.AttemptState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	key := outcome.AttemptKey{Request: q.Request, Attempt: q.Attempt}
@@ -33,7 +33,7 @@
 	return &peer.AttemptState{Started: started, Certain: certain}
 }
 
-func (d *Door) issue(ctx context.Context, st *peer.Stream) {
+func (d *Server) issue(ctx context.Context, st *peer.Stream) {
 	d.mu.Lock()
 	lifetime := d.service.KeyLifetime
 	leaving := d.isLeaving(d.Clock.Now())
@@ -51,7 +51,7 @@
 	_ = st.Send(ctx, &peer.TicketIssued{Ticket: text, Lifetime: lifetime})
 }
 
-func (d *Door) placed(p *peer.ChatPlaced) {
+func (d *Server) placed(p *peer.ChatPlaced) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.admission.CacheOwners.RecordServed(p.Chat, p.Side)
--- a/side/internal/router/shed.go
+++ b/side/internal/router/shed.go
@@ -6,13 +6,13 @@
 )
 
 // MoveWanted tells when the load has just grown, so that the side may have to move work away.
-func (d *Door) MoveWanted() <-chan struct{} {
+func (d *Server) MoveWanted() <-chan struct{} {
 	d.shedOnce.Do(func() { d.shedWake = make(chan struct{}, 1) })
 	return d.shedWake
 }
 
 // wakeShed asks for a look at the load; the caller holds the lock.
-func (d *Door) wakeShed() {
+func (d *Server) wakeShed() {
 	if d.admission.ExcessLoad(d.Clock.Now()) <= 0 {
 		return
 	}
@@ -23,7 +23,7 @@
 }
 
 // MoveTarget returns the side to which work should move and its address, if there is too much here.
-func (d *Door) MoveTarget() (settings.UpstreamID, string, bool) {
+func (d *Server) MoveTarget() (settings.UpstreamID, string, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	m, ok := d.move()
@@ -35,7 +35,7 @@
 }
 
 // move returns what the admission controller wants moved; the caller holds the lock.
-func (d *Door) move() (admit.Move, bool) {
+func (d *Server) move() (admit.Move, bool) {
 	if d.service.Kind != settings.KindModel || d.isLeaving(d.Clock.Now()) {
 		return admit.Move{}, false
 	}
@@ -43,7 +43,7 @@
 }
 
 // MoveRequest moves one request to a side whose load was just asked for; it reports whether it did.
-func (d *Door) MoveRequest(to settings.UpstreamID) bool {
+func (d *Server) MoveRequest(to settings.UpstreamID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	m, ok := d.move()
@@ -67,7 +67,7 @@
 
 // movable returns the request whose charge is nearest to the wanted one, one that waits before one whose answer has begun;
 // the caller holds the lock.
-func (d *Door) movable(m admit.Move) *job {
+func (d *Server) movable(m admit.Move) *job {
 	var best *job
 	for j := range d.jobs {
 		if j.stopped || !j.profile.Idempotent || j.submit.Moves >= maxMoves || j.verdict.Charge > m.MaxCharge {
--- a/side/internal/router/submit.go
+++ b/side/internal/router/submit.go
@@ -14,7 +14,7 @@
 )
 
 // submit takes one attempt through the door.
-func (d *Door) submit(ctx context.Context, st *peer.Stream, m *peer.Submit) {
+func (d *Server) submit(ctx context.Context, st *peer.Stream, m *peer.Submit) {
 	j := &job{submit: m, slot: make(chan struct{})}
 	left := m.Remaining - st.Link().Lateness(m.Sent)
 	j.deadline = d.Clock.Now().Add(left)
@@ -56,7 +56,7 @@
 }
 
 // enter decides on a submission; it takes the load, a place in the queue and the key for one that may run.
-func (d *Door) enter(j *job) (outcome.Step, *refusal) {
+func (d *Server) enter(j *job) (outcome.Step, *refusal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock.Now()
@@ -75,7 +75,7 @@
 }
 
 // decide takes what a submission needs to run, or says why it may not; the caller holds the lock.
-func (d *Door) decide(j *job) (outcome.Step, *refusal) {
+func (d *Server) decide(j *job) (outcome.Step, *refusal) {
 	profile, ok := d.profile(j.submit.Profile)
 	if !ok {
 		return 0, &refusal{code: peer.RefuseProfile, retryAfter: time.Second}
@@ -104,7 +104,7 @@
 }
 
 // profile returns the profile of a submission if it is served here; the caller holds the lock.
-func (d *Door) profile(name settings.ProfileName) (settings.Profile, bool) {
+func (d *Server) profile(name settings.ProfileName) (settings.Profile, bool) {
 	if d.fleet == nil {
 		return settings.Profile{}, false
 	}
@@ -113,7 +113,7 @@
 }
 
 // enterQueue admits a job to the load and the queue; the caller holds the lock.
-func (d *Door) enterQueue(j *job) *refusal {
+func (d *Server) enterQueue(j *job) *refusal {
 	now := d.Clock.Now()
 	if d.isLeaving(now) {
 		return &refusal{code: peer.RefuseLeaving, retryAfter: time.Second}
@@ -139,7 +139,7 @@
 }
 
 // admit asks the admission controller; the caller holds the lock.
-func (d *Door) admit(j *job) *refusal {
+func (d *Server) admit(j *job) *refusal {
 	m := j.submit
 	home, _ := d.set.Home(m.Chat)
 	ask := admit.Request{
@@ -166,7 +166,7 @@
 }
 
 // enterKey looks a key or ticket up and claims its one run; the caller holds the lock.
-func (d *Door) enterKey(j *job) (outcome.Step, *refusal) {
+func (d *Server) enterKey(j *job) (outcome.Step, *refusal) {
 	now := d.Clock.Now()
 	if refused := d.checkHome(j); refused != nil {
 		return 0, refused
@@ -188,7 +188,7 @@
 }
 
 // checkHome refuses keys and tickets that belong elsewhere; the caller holds the lock.
-func (d *Door) checkHome(j *job) *refusal {
+func (d *Server) checkHome(j *job) *refusal {
 	if j.submit.Ticket != "" {
 		err := d.Issuer.Check(d.Clock.Now(), j.submit.Ticket, d.service.KeyLifetime)
 		if err != nil {
@@ -203,7 +203,7 @@
 }
 
 // vouch refuses a key whose earlier run cannot be ruled out; the caller holds the lock.
-func (d *Door) vouch(j *job) *refusal {
+func (d *Server) vouch(j *job) *refusal {
 	if j.submit.Ticket != "" {
 		return nil
 	}
@@ -215,7 +215,7 @@
 }
 
 // watch ends the job when the router withdraws it or goes away.
-func (d *Door) watch(ctx context.Context, st *peer.Stream, j *job) {
+func (d *Server) watch(ctx context.Context, st *peer.Stream, j *job) {
 	_, err := st.Receive(j.ctx)
 	if j.ctx.Err() != nil {
 		return
@@ -233,7 +233,7 @@
 }
 
 // waitForSlot reports whether the job got a slot before its deadline or withdrawal.
-func (d *Door) waitForSlot(j *job) bool {
+func (d *Server) waitForSlot(j *job) bool {
 	select {
 	case <-j.slot:
 		return true
@@ -243,7 +243,7 @@
 }
 
 // abandon forgets the key of a job that was never handed over, and forbids its start.
-func (d *Door) abandon(j *job) {
+func (d *Server) abandon(j *job) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if j.record != nil {
@@ -255,7 +255,7 @@
 }
 
 // leave gives back what a job holds.
-func (d *Door) leave(j *job) {
+func (d *Server) leave(j *job) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.admission.Release(&j.verdict)
--- a/side/internal/sides/prefixes.go
+++ b/side/internal/sides/prefixes.go
@@ -30,21 +30,21 @@
 	Import(ctx context.Context, chat uint64, prefix []byte) (settings.Tokens, error)
 }
 
-// Prefixes moves prefixes between the engines of two sides.
-type Prefixes struct {
+// PrefixTransfer moves prefixes between the engines of two sides.
+type PrefixTransfer struct {
 	Dialer Dialer
 	Engine Engine
 
 	sending chan struct{}
 }
 
-// NewPrefixes returns a mover of prefixes for the engine of this side.
-func NewPrefixes(d Dialer, e Engine) *Prefixes {
-	return &Prefixes{Dialer: d, Engine: e, sending: make(chan struct{}, maxTransfers)}
+// NewPrefixTransfer returns a mover of prefixes for the engine of this side.
+func NewPrefixTransfer(d Dialer, e Engine) *PrefixTransfer {
+	return &PrefixTransfer{Dialer: d, Engine: e, sending: make(chan struct{}, maxTransfers)}
 }
 
 // Fetch brings the prefix of a chat from the side at an address into this side's engine.
-func (p *Prefixes) Fetch(ctx context.Context, address string, chat uint64) (settings.Tokens, error) {
+func (p *PrefixTransfer) Fetch(ctx context.Context, address string, chat uint64) (settings.Tokens, error) {
 	l, err := p.Dialer.Dial(ctx, address)
 	if err != nil {
 		return 0, err
@@ -81,13 +81,13 @@
 }
 
 // Serve sends the prefix that another side asks for.
-func (p *Prefixes) Serve(ctx context.Context, st *peer.Stream, f *peer.FetchPrefix) {
+func (p *PrefixTransfer) Serve(ctx context.Context, st *peer.Stream, f *peer.FetchPrefix) {
 	if err := p.send(ctx, st, f.Chat); err != nil {
 		_ = st.Send(ctx, &peer.Reset{Reason: err.Error()})
 	}
 }
 
-func (p *Prefixes) send(ctx context.Context, st *peer.Stream, chat uint64) error {
+func (p *PrefixTransfer) send(ctx context.Context, st *peer.Stream, chat uint64) error {
 	select {
 	case p.sending <- struct{}{}:
 		defer func() { <-p.sending }()
--- a/side/internal/sides/service.go
+++ b/side/internal/sides/service.go
@@ -21,8 +21,8 @@
 	neighbours = 16
 )
 
-// Door is what the exchanges tell and ask.
-type Door interface {
+// Admission is what the exchanges tell and ask.
+type Admission interface {
 	ExchangeSample(other *mean.Sample) mean.Sample
 	MergeSample(other mean.Sample)
 	MoveWanted() <-chan struct{}
@@ -31,7 +31,7 @@
 	Siblings() (settings.ServiceName, []string)
 	Forget(side settings.UpstreamID)
 	ListedLeaving()
-	PendingClaims() []router.Question
+	PendingClaims() []router.PendingClaim
 	ApplyHandover(h *peer.Handover)
 	AnswerClaim(c *peer.Claim) []*peer.Handover
 	KeepHandover(h *peer.Handover)
@@ -45,9 +45,9 @@
 
 // Service exchanges loads with other sides in rounds and claims the records of keys that have moved here.
 type Service struct {
-	Door     Door
-	Dialer   Dialer
-	Prefixes *Prefixes
+	Admission Admission
+	Dialer    Dialer
+	Prefixes  *PrefixTransfer
 
 	others overlay.PeerSet
 }
@@ -89,7 +89,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.Door.MoveWanted():
+		case <-s.Admission.MoveWanted():
 			s.shed(ctx)
 		}
 	}
@@ -102,15 +102,15 @@
 // rests on an old report.
 func (s *Service) shed(ctx context.Context) {
 	for range maxShedSteps {
-		to, address, ok := s.Door.MoveTarget()
+		to, address, ok := s.Admission.MoveTarget()
 		if !ok {
 			return
 		}
 		if err := s.exchangeWith(ctx, address); err != nil {
-			s.Door.Forget(to)
+			s.Admission.Forget(to)
 			continue
 		}
-		s.Door.MoveRequest(to)
+		s.Admission.MoveRequest(to)
 	}
 }
 
@@ -129,7 +129,7 @@
 
 // exchange swaps samples with one neighbour.
 func (s *Service) exchange(ctx context.Context) {
-	_, addresses := s.Door.Siblings()
+	_, addresses := s.Admission.Siblings()
 	address, ok := s.others.Pick(addresses)
 	if !ok {
 		return
@@ -147,12 +147,12 @@
 	if err != nil {
 		return err
 	}
-	name, _ := s.Door.Siblings()
-	answer, err := peer.Ask[*peer.LoadExchange](ctx, l, message(name, s.Door.ExchangeSample(nil)), askLimit)
+	name, _ := s.Admission.Siblings()
+	answer, err := peer.Ask[*peer.LoadExchange](ctx, l, message(name, s.Admission.ExchangeSample(nil)), askLimit)
 	if err != nil {
 		return err
 	}
-	s.Door.MergeSample(sample(answer))
+	s.Admission.MergeSample(sample(answer))
 	return nil
 }
 
@@ -162,12 +162,12 @@
 	case *peer.LoadExchange:
 		s.answerExchange(ctx, st, v)
 	case *peer.Claim:
-		for _, h := range s.Door.AnswerClaim(v) {
+		for _, h := range s.Admission.AnswerClaim(v) {
 			_ = st.Send(ctx, h)
 		}
 		_ = st.Send(ctx, &peer.Reset{Reason: "no more records"})
 	case *peer.Handover:
-		s.Door.KeepHandover(v)
+		s.Admission.KeepHandover(v)
 		_ = st.Send(ctx, &peer.HandoverAck{})
 	case *peer.FetchPrefix:
 		s.Prefixes.Serve(ctx, st, v)
@@ -182,20 +182,20 @@
 // leaving takes another side's word that it leaves, or a router's word that this VM is listed as leaving.
 func (s *Service) leaving(from peer.Hello) {
 	if from.Role == peer.RoleRouter {
-		s.Door.ListedLeaving()
+		s.Admission.ListedLeaving()
 		return
 	}
-	s.Door.Forget(settings.UpstreamID(from.ID))
+	s.Admission.Forget(settings.UpstreamID(from.ID))
 }
 
 func (s *Service) answerExchange(ctx context.Context, st *peer.Stream, v *peer.LoadExchange) {
-	name, _ := s.Door.Siblings()
+	name, _ := s.Admission.Siblings()
 	if v.Service != name {
 		_ = st.Send(ctx, &peer.Reset{Reason: "other service"})
 		return
 	}
 	theirs := sample(v)
-	mine := s.Door.ExchangeSample(&theirs)
+	mine := s.Admission.ExchangeSample(&theirs)
 	_ = st.Send(ctx, message(name, mine))
 }
 
@@ -209,7 +209,7 @@
 
 // claim asks every side whose word is missing for the records that belong here now.
 func (s *Service) claim(ctx context.Context) {
-	for _, q := range s.Door.PendingClaims() {
+	for _, q := range s.Admission.PendingClaims() {
 		s.claimFrom(ctx, q.Claim, q.Address)
 	}
 }
@@ -235,18 +235,18 @@
 		if !ok {
 			return
 		}
-		s.Door.ApplyHandover(h)
+		s.Admission.ApplyHandover(h)
 	}
 }
 
-// Bequeath leaves this side's records with one other side. A second copy could outlive the first and mislead a
+// HandOver leaves this side's records with one other side. A second copy could outlive the first and mislead a
 // later successor, so another side is tried only where nothing was sent.
-func (s *Service) Bequeath(ctx context.Context) {
-	handover := s.Door.Handover()
+func (s *Service) HandOver(ctx context.Context) {
+	handover := s.Admission.Handover()
 	if handover == nil {
 		return
 	}
-	_, addresses := s.Door.Siblings()
+	_, addresses := s.Admission.Siblings()
 	for _, address := range addresses {
 		l, err := s.Dialer.Dial(ctx, address)
 		if err != nil {
--- a/side/internal/upstream/client.go
+++ b/side/internal/upstream/client.go
@@ -27,15 +27,15 @@
 	maxIdle       = 64
 )
 
-// NotHandedOverError reports a request of which no byte reached the upstream.
-type NotHandedOverError struct {
+// NotSentError reports a request of which no byte reached the upstream.
+type NotSentError struct {
 	Cause error
 }
 
-func (e *NotHandedOverError) Error() string { return "not handed over: " + e.Cause.Error() }
+func (e *NotSentError) Error() string { return "not handed over: " + e.Cause.Error() }
 
 // Unwrap returns what kept the request from being handed over.
-func (e *NotHandedOverError) Unwrap() error { return e.Cause }
+func (e *NotSentError) Unwrap() error { return e.Cause }
 
 // CutError reports an answer that ended before its end.
 type CutError struct {
@@ -103,7 +103,7 @@
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { handed.Store(true) }})
 	req, err := http.NewRequestWithContext(ctx, call.Method, c.url+call.Path, onceReader{bytes.NewReader(call.Body)})
 	if err != nil {
-		return Usage{}, &NotHandedOverError{Cause: err}
+		return Usage{}, &NotSentError{Cause: err}
 	}
 	req.ContentLength = int64(len(call.Body))
 	if len(call.Body) == 0 {
@@ -122,7 +122,7 @@
 		if handed.Load() {
 			return Usage{}, &CutError{Cause: err}
 		}
-		return Usage{}, &NotHandedOverError{Cause: err}
+		return Usage{}, &NotSentError{Cause: err}
 	}
 	defer res.Body.Close()
 	if err := sink.Head(res.StatusCode, peer.EndToEndHeaders(res.Header, keepAll)); err != nil {
