--- a/core/admit/controller.go
+++ b/core/admission/controller.go
@@ -1,11 +1,11 @@
-package admit
+package admission
 
 import (
 	"time"
 
 	"rattantrack.dev/core/clock"
 	"rattantrack.dev/core/holder"
-	"rattantrack.dev/core/mean"
+	"rattantrack.dev/core/meanload"
 	"rattantrack.dev/core/settings"
 )
 
@@ -79,7 +79,7 @@
 type Controller struct {
 	Self        settings.UpstreamID
 	Policy      Policy
-	Estimator   mean.Estimator
+	Estimator   meanload.Estimator
 	CacheOwners holder.Table
 	Prefixes    Prefixes
 
--- a/core/admit/controller_test.go
+++ b/core/admission/controller_test.go
@@ -1,4 +1,4 @@
-package admit
+package admission
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"rattantrack.dev/core/clock"
-	"rattantrack.dev/core/mean"
+	"rattantrack.dev/core/meanload"
 	"rattantrack.dev/core/settings"
 )
 
@@ -18,8 +18,8 @@
 // controller returns one side that knows a mean of 1000 and one lighter side.
 func controller() *Controller {
 	c := &Controller{Self: "self", Policy: Policy{Multiple: 1.25, PrefillWeight: 0.1, CanImport: true}}
-	c.Estimator.Merge(start, 1000, mean.Sample{Side: "light", Load: 800, Mean: 1000, Known: true})
-	c.Estimator.Merge(start, 1000, mean.Sample{Side: "heavy", Load: 1200, Mean: 1000, Known: true})
+	c.Estimator.Merge(start, 1000, meanload.Sample{Side: "light", Load: 800, Mean: 1000, Known: true})
+	c.Estimator.Merge(start, 1000, meanload.Sample{Side: "heavy", Load: 1200, Mean: 1000, Known: true})
 	return c
 }
 
--- a/core/admit/prefixes.go
+++ b/core/admission/prefixes.go
@@ -1,4 +1,4 @@
-package admit
+package admission
 
 import (
 	"github.com/hashicorp/golang-lru/v2/simplelru"
--- a/core/admit/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package admit decides at a side whether to take a request, where to send it instead, and what to move away.
-package admit
--- a/core/share/scheduler_test.go
+++ b/core/fairqueue/scheduler_test.go
@@ -1,4 +1,4 @@
-package share
+package fairqueue
 
 import (
 	"testing"
--- a/core/internal/benchdecisions/engine.go
+++ b/core/internal/benchdecisions/engine.go
@@ -7,9 +7,9 @@
 
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 
-	"rattantrack.dev/core/admit"
+	"rattantrack.dev/core/admission"
+	"rattantrack.dev/core/fairqueue"
 	"rattantrack.dev/core/settings"
-	"rattantrack.dev/core/share"
 )
 
 // prefillWeight is the work of a prompt token in units of an answer token.
@@ -30,13 +30,13 @@
 	returned bool
 
 	engine  *engine
-	item    *share.Item
+	item    *fairqueue.Item
 	charge  settings.Tokens
 	prefill settings.Tokens
 	ticket  int // counts placements, so that events of an earlier one are ignored
 	began   float64
 	release func()
-	verdict admit.Decision
+	verdict admission.Decision
 }
 
 func newRequest(s *sim, c *chat) *request {
@@ -66,7 +66,7 @@
 	held         float64
 	running      map[*request]bool
 	waiting      map[*request]bool
-	scheduler    share.Scheduler
+	scheduler    fairqueue.Scheduler
 	prefillFree  float64
 	load         settings.Tokens
 	reported     settings.Tokens
@@ -83,7 +83,7 @@
 	e.held = 0
 	e.running = make(map[*request]bool)
 	e.waiting = make(map[*request]bool)
-	e.scheduler = share.Scheduler{Slots: maxRunning, MaxQueued: 1000}
+	e.scheduler = fairqueue.Scheduler{Slots: maxRunning, MaxQueued: 1000}
 	e.load, e.prefillFree = 0, 0
 	e.down, e.silent = false, false
 }
--- a/core/internal/benchdecisions/ours.go
+++ b/core/internal/benchdecisions/ours.go
@@ -1,8 +1,8 @@
 package main
 
 import (
-	"rattantrack.dev/core/admit"
-	"rattantrack.dev/core/mean"
+	"rattantrack.dev/core/admission"
+	"rattantrack.dev/core/meanload"
 	"rattantrack.dev/core/peer"
 	"rattantrack.dev/core/rank"
 	"rattantrack.dev/core/route"
@@ -21,7 +21,7 @@
 // ours drives the system's own decisions.
 type ours struct {
 	*baseline
-	sides  []*admit.Controller
+	sides  []*admission.Controller
 	exact  *rank.Set
 	views  [routers]*rank.Set
 	rounds int
@@ -36,8 +36,8 @@
 	return o
 }
 
-func (o *ours) controller(e *engine) *admit.Controller {
-	c := &admit.Controller{Self: e.id, Policy: admit.Policy{Multiple: o.sim.multiple, PrefillWeight: prefillWeight, CanImport: true}}
+func (o *ours) controller(e *engine) *admission.Controller {
+	c := &admission.Controller{Self: e.id, Policy: admission.Policy{Multiple: o.sim.multiple, PrefillWeight: prefillWeight, CanImport: true}}
 	c.Prefixes.Limit = cacheTokens
 	return c
 }
@@ -91,9 +91,9 @@
 	}
 }
 
-func (o *ours) ask(r *request, e *engine, step route.Step, holder settings.UpstreamID, moved bool) admit.Decision {
+func (o *ours) ask(r *request, e *engine, step route.Step, holder settings.UpstreamID, moved bool) admission.Decision {
 	home, _ := o.exact.Home(r.chat.id)
-	return o.sides[e.index].Decide(o.sim.instant(), admit.Request{
+	return o.sides[e.index].Decide(o.sim.instant(), admission.Request{
 		Chat:          r.chat.id,
 		PromptTokens:  settings.Tokens(r.prompt),
 		DecodeTokens:  settings.Tokens(r.expected),
@@ -105,7 +105,7 @@
 	})
 }
 
-func (o *ours) admitted(r *request, e *engine, home settings.UpstreamID, v admit.Decision, p *placement) {
+func (o *ours) admitted(r *request, e *engine, home settings.UpstreamID, v admission.Decision, p *placement) {
 	side := o.sides[e.index]
 	if v.ImportFrom != "" {
 		if from := o.sim.engines[o.sim.index[v.ImportFrom]]; !from.down && !from.silent && from != e {
@@ -179,7 +179,7 @@
 }
 
 // messageBytes is the size of a sample on the wire.
-func messageBytes(s mean.Sample) float64 {
+func messageBytes(s meanload.Sample) float64 {
 	m := &peer.LoadExchange{Side: s.Side, Service: "letterhouse", Load: float32(s.Load), Mean: float32(s.Mean), MeanKnown: s.Known}
 	n, err := peer.FrameSize(m)
 	if err != nil {
@@ -220,7 +220,7 @@
 
 // movable returns the request whose charge is nearest to the wanted one: one that waits, else one whose answer has begun,
 // else one whose prompt is being read.
-func (o *ours) movable(e *engine, m admit.Move) *request {
+func (o *ours) movable(e *engine, m admission.Move) *request {
 	var best *request
 	for _, set := range []map[*request]bool{e.waiting, e.running} {
 		for r := range set {
--- a/core/internal/benchdecisions/sim.go
+++ b/core/internal/benchdecisions/sim.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"rattantrack.dev/core/clock"
-	"rattantrack.dev/core/mean"
+	"rattantrack.dev/core/fairqueue"
+	"rattantrack.dev/core/meanload"
 	"rattantrack.dev/core/rank"
 	"rattantrack.dev/core/settings"
-	"rattantrack.dev/core/share"
 )
 
 // Shape of the runs; times in seconds of the virtual clock.
@@ -176,7 +176,7 @@
 func (s *sim) run() stats {
 	s.at(0, s.arrive)
 	s.every(sampleEvery, s.sample)
-	s.every(mean.ExchangeInterval.Seconds(), s.policy.round)
+	s.every(meanload.ExchangeInterval.Seconds(), s.policy.round)
 	if s.is("churn", "churn_surge") {
 		s.every(churnEvery, func() { s.lose(noticeMax) })
 	}
@@ -311,7 +311,7 @@
 }
 
 // teamItem returns the scheduler's view of a request.
-func (s *sim) teamItem(r *request, start func()) *share.Item {
-	return &share.Item{Team: r.chat.team, Share: 1, Priority: settings.PriorityNormal, Work: settings.Tokens(r.decode),
+func (s *sim) teamItem(r *request, start func()) *fairqueue.Item {
+	return &fairqueue.Item{Team: r.chat.team, Share: 1, Priority: settings.PriorityNormal, Work: settings.Tokens(r.decode),
 		Deadline: s.instant().Add(time.Minute), Start: start}
 }
--- a/core/mean/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package mean estimates the mean load of a service's sides by pairwise exchanges, with no table of sides.
-package mean
--- a/core/mean/mean.go
+++ b/core/meanload/mean.go
@@ -1,4 +1,4 @@
-package mean
+package meanload
 
 import (
 	"slices"
--- a/core/share/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package share orders the requests that wait at a side: by class, and within a class fairly between teams by work.
-package share
--- a/side/internal/router/door.go
+++ b/side/internal/router/door.go
@@ -8,15 +8,15 @@
 	"github.com/charmbracelet/log"
 	"github.com/uber-go/tally/v4"
 
-	"rattantrack.dev/core/admit"
+	"rattantrack.dev/core/admission"
 	"rattantrack.dev/core/clock"
-	"rattantrack.dev/core/mean"
+	"rattantrack.dev/core/fairqueue"
+	"rattantrack.dev/core/meanload"
 	"rattantrack.dev/core/outcome"
 	"rattantrack.dev/core/peer"
 	"rattantrack.dev/core/rank"
 	"rattantrack.dev/core/revision"
 	"rattantrack.dev/core/settings"
-	"rattantrack.dev/core/share"
 	"rattantrack.dev/core/ticket"
 	"rattantrack.dev/side/internal/upstream"
 )
@@ -60,8 +60,8 @@
 	siblings []string
 	// former holds the addresses of sides that are no longer declared.
 	former    map[settings.UpstreamID]string
-	admission admit.Controller
-	scheduler share.Scheduler
+	admission admission.Controller
+	scheduler fairqueue.Scheduler
 	attempts  outcome.Attempts
 	keys      outcome.Keys
 	homes     outcome.Primaries
@@ -105,10 +105,10 @@
 }
 
 // PolicyOf derives the load policy of a service from its declaration.
-func PolicyOf(s settings.Service) admit.Policy {
+func PolicyOf(s settings.Service) admission.Policy {
 	// One engine decodes MaxRunning streams while it could prefill PrefillRate tokens.
 	weight := float64(s.DecodeRate) * float64(s.MaxRunning) / float64(s.PrefillRate)
-	return admit.Policy{Multiple: s.Multiple, PrefillWeight: weight, CanImport: s.KVTransfer}
+	return admission.Policy{Multiple: s.Multiple, PrefillWeight: weight, CanImport: s.KVTransfer}
 }
 
 // homesChange tells the homes what changed of this service's declared upstreams.
@@ -148,7 +148,7 @@
 }
 
 // ExchangeSample merges another side's sample into the estimate and returns the sample from here.
-func (d *Server) ExchangeSample(other *mean.Sample) mean.Sample {
+func (d *Server) ExchangeSample(other *meanload.Sample) meanload.Sample {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock.Now()
@@ -161,7 +161,7 @@
 }
 
 // MergeSample takes in the answer to an exchange that was begun here.
-func (d *Server) MergeSample(other mean.Sample) {
+func (d *Server) MergeSample(other meanload.Sample) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.admission.Estimator.Merge(d.Clock.Now(), d.admission.Load(), other)
--- a/side/internal/router/job.go
+++ b/side/internal/router/job.go
@@ -5,12 +5,12 @@
 	"sync/atomic"
 	"time"
 
-	"rattantrack.dev/core/admit"
+	"rattantrack.dev/core/admission"
 	"rattantrack.dev/core/clock"
+	"rattantrack.dev/core/fairqueue"
 	"rattantrack.dev/core/outcome"
 	"rattantrack.dev/core/peer"
 	"rattantrack.dev/core/settings"
-	"rattantrack.dev/core/share"
 )
 
 // job is one attempt on its way through the door.
@@ -18,8 +18,8 @@
 	submit   *peer.Submit
 	profile  settings.Profile
 	deadline clock.Instant
-	verdict  admit.Decision
-	item     *share.Item
+	verdict  admission.Decision
+	item     *fairqueue.Item
 	record   *outcome.Record
 	slot     chan struct{}
 	// ctx ends the run; for calls that may not be repeated a router that went away does not end it.
--- a/side/internal/router/shed.go
+++ b/side/internal/router/shed.go
@@ -1,7 +1,7 @@
 package router
 
 import (
-	"rattantrack.dev/core/admit"
+	"rattantrack.dev/core/admission"
 	"rattantrack.dev/core/settings"
 )
 
@@ -35,9 +35,9 @@
 }
 
 // move returns what the admission controller wants moved; the caller holds the lock.
-func (d *Server) move() (admit.Move, bool) {
+func (d *Server) move() (admission.Move, bool) {
 	if d.service.Kind != settings.KindModel || d.isLeaving(d.Clock.Now()) {
-		return admit.Move{}, false
+		return admission.Move{}, false
 	}
 	return d.admission.NextMove(d.Clock.Now())
 }
@@ -67,7 +67,7 @@
 
 // movable returns the request whose charge is nearest to the wanted one, one that waits before one whose answer has begun;
 // the caller holds the lock.
-func (d *Server) movable(m admit.Move) *job {
+func (d *Server) movable(m admission.Move) *job {
 	var best *job
 	for j := range d.jobs {
 		if j.stopped || !j.profile.Idempotent || j.submit.Moves >= maxMoves || j.verdict.Charge > m.MaxCharge {
@@ -85,7 +85,7 @@
 }
 
 // better reports whether a is a better request to move than b.
-func better(a, b *job, m admit.Move) bool {
+func better(a, b *job, m admission.Move) bool {
 	if a.item.Started() != b.item.Started() {
 		return !a.item.Started()
 	}
--- a/side/internal/router/submit.go
+++ b/side/internal/router/submit.go
@@ -6,11 +6,11 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"rattantrack.dev/core/admit"
+	"rattantrack.dev/core/admission"
+	"rattantrack.dev/core/fairqueue"
 	"rattantrack.dev/core/outcome"
 	"rattantrack.dev/core/peer"
 	"rattantrack.dev/core/settings"
-	"rattantrack.dev/core/share"
 )
 
 // submit takes one attempt through the door.
@@ -123,7 +123,7 @@
 			return refused
 		}
 	}
-	j.item = &share.Item{
+	j.item = &fairqueue.Item{
 		Team:     j.submit.Team,
 		Share:    d.fleet.Teams[j.submit.Team].Share,
 		Priority: j.profile.Priority,
@@ -142,7 +142,7 @@
 func (d *Server) admit(j *job) *refusal {
 	m := j.submit
 	home, _ := d.set.Home(m.Chat)
-	ask := admit.Request{
+	ask := admission.Request{
 		Chat:          m.Chat,
 		PromptTokens:  m.PromptTokens,
 		DecodeTokens:  d.decodeGuess(m.Profile, j.profile),
--- a/side/internal/sides/service.go
+++ b/side/internal/sides/service.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"rattantrack.dev/core/mean"
+	"rattantrack.dev/core/meanload"
 	"rattantrack.dev/core/overlay"
 	"rattantrack.dev/core/peer"
 	"rattantrack.dev/core/settings"
@@ -23,8 +23,8 @@
 
 // Admission is what the exchanges tell and ask.
 type Admission interface {
-	ExchangeSample(other *mean.Sample) mean.Sample
-	MergeSample(other mean.Sample)
+	ExchangeSample(other *meanload.Sample) meanload.Sample
+	MergeSample(other meanload.Sample)
 	MoveWanted() <-chan struct{}
 	MoveTarget() (settings.UpstreamID, string, bool)
 	MoveRequest(to settings.UpstreamID) bool
@@ -72,7 +72,7 @@
 		s.shedWhenWanted(ctx)
 	}()
 	shuffled := time.Now()
-	every(ctx, mean.ExchangeInterval, func() {
+	every(ctx, meanload.ExchangeInterval, func() {
 		if time.Since(shuffled) > reshuffle {
 			s.others.Rotate()
 			shuffled = time.Now()
@@ -199,12 +199,12 @@
 	_ = st.Send(ctx, message(name, mine))
 }
 
-func message(name settings.ServiceName, s mean.Sample) *peer.LoadExchange {
+func message(name settings.ServiceName, s meanload.Sample) *peer.LoadExchange {
 	return &peer.LoadExchange{Side: s.Side, Service: name, Load: float32(s.Load), Mean: float32(s.Mean), MeanKnown: s.Known}
 }
 
-func sample(e *peer.LoadExchange) mean.Sample {
-	return mean.Sample{Side: e.Side, Load: settings.Tokens(e.Load), Mean: settings.Tokens(e.Mean), Known: e.MeanKnown}
+func sample(e *peer.LoadExchange) meanload.Sample {
+	return meanload.Sample{Side: e.Side, Load: settings.Tokens(e.Load), Mean: settings.Tokens(e.Mean), Known: e.MeanKnown}
 }
 
 // claim asks every side whose word is missing for the records that belong here now.
