--- a/core/admission/controller.go
+++ b/core/admission/controller.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"rattantrack.dev/core/cacheowner"
 	"rattantrack.dev/core/clock"
-	"rattantrack.dev/core/holder"
 	"rattantrack.dev/core/meanload"
 	"rattantrack.dev/core/settings"
 )
@@ -80,7 +80,7 @@
 	Self        settings.UpstreamID
 	Policy      Policy
 	Estimator   meanload.Estimator
-	CacheOwners holder.Table
+	CacheOwners cacheowner.Table
 	Prefixes    Prefixes
 
 	load settings.Tokens
--- a/core/holder/holder.go
+++ b/core/cacheowner/holder.go
@@ -1,4 +1,4 @@
-package holder
+package cacheowner
 
 import (
 	"github.com/hashicorp/golang-lru/v2/simplelru"
--- a/core/route/walk.go
+++ b/core/candidates/walk.go
@@ -1,9 +1,9 @@
-package route
+package candidates
 
 import (
 	"slices"
 
-	"rattantrack.dev/core/rank"
+	"rattantrack.dev/core/rendezvous"
 	"rattantrack.dev/core/settings"
 )
 
@@ -27,7 +27,7 @@
 }
 
 // New begins with the hint, if it names a usable side, and then follows the chat's ranking.
-func New(set *rank.Set, chat uint64, hint settings.UpstreamID) Order {
+func New(set *rendezvous.Set, chat uint64, hint settings.UpstreamID) Order {
 	var w Order
 	w.n = set.Top(chat, w.ranked[:])
 	if w.n > 0 {
--- a/core/route/walk_test.go
+++ b/core/candidates/walk_test.go
@@ -1,17 +1,17 @@
-package route
+package candidates
 
 import (
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 
-	"rattantrack.dev/core/rank"
+	"rattantrack.dev/core/rendezvous"
 	"rattantrack.dev/core/settings"
 )
 
 func TestLightestIsAskedLastWhenAllHaveRefused(t *testing.T) {
 	c := qt.New(t)
-	w := New(rank.New([]settings.UpstreamID{"a", "b", "c"}), 7, "")
+	w := New(rendezvous.New([]settings.UpstreamID{"a", "b", "c"}), 7, "")
 	loads := map[settings.UpstreamID]settings.Tokens{"a": 30, "b": 10, "c": 20}
 	for range 3 {
 		step, ok := w.Next()
@@ -28,7 +28,7 @@
 
 func TestNamedSidesAreAskedFirstAndNobodyTwice(t *testing.T) {
 	c := qt.New(t)
-	w := New(rank.New([]settings.UpstreamID{"a", "b", "c", "d", "e", "f"}), 7, "e")
+	w := New(rendezvous.New([]settings.UpstreamID{"a", "b", "c", "d", "e", "f"}), 7, "e")
 	first, _ := w.Next()
 	c.Assert(first.Side, qt.Equals, settings.UpstreamID("e"))
 	w.Prepend([]settings.UpstreamID{"e", "f"})
@@ -48,7 +48,7 @@
 
 func TestExcludedSideIsNotAskedThoughItIsNamed(t *testing.T) {
 	c := qt.New(t)
-	w := New(rank.New([]settings.UpstreamID{"a", "b"}), 7, "")
+	w := New(rendezvous.New([]settings.UpstreamID{"a", "b"}), 7, "")
 	w.Exclude([]settings.UpstreamID{"a"})
 	w.Prepend([]settings.UpstreamID{"a"})
 	step, ok := w.Next()
--- a/core/holder/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package holder remembers, for the chats whose home is here, which sides hold their prefix.
-package holder
--- a/core/internal/benchdecisions/ours.go
+++ b/core/internal/benchdecisions/ours.go
@@ -2,10 +2,10 @@
 
 import (
 	"rattantrack.dev/core/admission"
+	"rattantrack.dev/core/candidates"
 	"rattantrack.dev/core/meanload"
 	"rattantrack.dev/core/peer"
-	"rattantrack.dev/core/rank"
-	"rattantrack.dev/core/route"
+	"rattantrack.dev/core/rendezvous"
 	"rattantrack.dev/core/settings"
 )
 
@@ -22,8 +22,8 @@
 type ours struct {
 	*baseline
 	sides  []*admission.Controller
-	exact  *rank.Set
-	views  [routers]*rank.Set
+	exact  *rendezvous.Set
+	views  [routers]*rendezvous.Set
 	rounds int
 	sent   float64
 }
@@ -43,7 +43,7 @@
 }
 
 // view returns what one router believes; in view_disagreement each router misses some engines.
-func (o *ours) view(router int) *rank.Set {
+func (o *ours) view(router int) *rendezvous.Set {
 	if o.sim.is("view_disagreement") && o.views[router] != nil {
 		return o.views[router]
 	}
@@ -54,7 +54,7 @@
 func (o *ours) place(r *request) placement {
 	router := o.sim.rng.IntN(routers)
 	set := o.view(router)
-	walk := route.New(set, r.chat.id, "")
+	walk := candidates.New(set, r.chat.id, "")
 	home := walk.Primary()
 	var p placement
 	var holder settings.UpstreamID
@@ -91,7 +91,7 @@
 	}
 }
 
-func (o *ours) ask(r *request, e *engine, step route.Step, holder settings.UpstreamID, moved bool) admission.Decision {
+func (o *ours) ask(r *request, e *engine, step candidates.Step, holder settings.UpstreamID, moved bool) admission.Decision {
 	home, _ := o.exact.Home(r.chat.id)
 	return o.sides[e.index].Decide(o.sim.instant(), admission.Request{
 		Chat:          r.chat.id,
@@ -258,7 +258,7 @@
 func (o *ours) move(r *request, e *engine, target settings.UpstreamID) bool {
 	side := o.sides[e.index]
 	to := o.sim.engines[o.sim.index[target]]
-	v := o.ask(r, to, route.Step{Side: target, Redirected: true}, e.id, true)
+	v := o.ask(r, to, candidates.Step{Side: target, Redirected: true}, e.id, true)
 	side.RecordMove(target, r.charge)
 	if !v.Admitted {
 		return false
@@ -283,7 +283,7 @@
 				ids = append(ids, id)
 			}
 		}
-		o.views[i] = rank.New(ids)
+		o.views[i] = rendezvous.New(ids)
 	}
 }
 
--- a/core/internal/benchdecisions/policy.go
+++ b/core/internal/benchdecisions/policy.go
@@ -1,7 +1,7 @@
 package main
 
 import (
-	"rattantrack.dev/core/rank"
+	"rattantrack.dev/core/rendezvous"
 	"rattantrack.dev/core/settings"
 )
 
@@ -46,7 +46,7 @@
 	sim    *sim
 	name   string
 	down   map[int]bool
-	set    *rank.Set
+	set    *rendezvous.Set
 	counts [][]int
 	ticks  int
 }
@@ -58,7 +58,7 @@
 			ids = append(ids, e.id)
 		}
 	}
-	b.set = rank.New(ids)
+	b.set = rendezvous.New(ids)
 }
 
 func (b *baseline) place(r *request) placement {
@@ -124,7 +124,7 @@
 		total += n
 	}
 	limit := b.sim.multiple * float64(total) / float64(b.set.Len())
-	var out [rank.MaxTop]settings.UpstreamID
+	var out [rendezvous.MaxTop]settings.UpstreamID
 	n := b.set.Top(r.chat.id, out[:])
 	for _, id := range out[:n] {
 		if float64(b.counts[router][b.sim.index[id]]+1) <= max(limit, 1) {
--- a/core/internal/benchdecisions/sim.go
+++ b/core/internal/benchdecisions/sim.go
@@ -9,7 +9,7 @@
 	"rattantrack.dev/core/clock"
 	"rattantrack.dev/core/fairqueue"
 	"rattantrack.dev/core/meanload"
-	"rattantrack.dev/core/rank"
+	"rattantrack.dev/core/rendezvous"
 	"rattantrack.dev/core/settings"
 )
 
@@ -134,7 +134,7 @@
 	for _, e := range s.engines {
 		ids = append(ids, e.id)
 	}
-	set := rank.New(ids)
+	set := rendezvous.New(ids)
 	for _, c := range slices.Concat(s.chats, s.hot) {
 		home, _ := set.Home(c.id)
 		s.engines[s.index[home]].store(c.id, c.context)
--- a/core/outcome/homes.go
+++ b/core/outcome/homes.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"rattantrack.dev/core/clock"
-	"rattantrack.dev/core/rank"
+	"rattantrack.dev/core/rendezvous"
 	"rattantrack.dev/core/settings"
 )
 
@@ -30,7 +30,7 @@
 
 // epoch is a set of declared upstreams that was in force until the revision ended.
 type epoch struct {
-	set   *rank.Set
+	set   *rendezvous.Set
 	ended settings.Revision
 	// everyone lists the sides that may have been home of any key, where versions in between were not seen.
 	everyone []settings.UpstreamID
@@ -56,7 +56,7 @@
 // Change is a new set of declared upstreams of one service.
 type Change struct {
 	Revision  settings.Revision
-	Set       *rank.Set
+	Set       *rendezvous.Set
 	Destroyed []settings.UpstreamID
 	// Exact says that no version lies between this one and the one before it here.
 	Exact bool
@@ -87,7 +87,7 @@
 	Started clock.Instant
 
 	reclaimed bool
-	set       *rank.Set
+	set       *rendezvous.Set
 	revision  settings.Revision
 	past      []epoch
 	releases  map[word]release
--- a/core/outcome/homes_test.go
+++ b/core/outcome/homes_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"rattantrack.dev/core/clock"
-	"rattantrack.dev/core/rank"
+	"rattantrack.dev/core/rendezvous"
 	"rattantrack.dev/core/settings"
 )
 
@@ -16,10 +16,10 @@
 
 func at(d time.Duration) clock.Instant { return clock.Instant(24*time.Hour + d) }
 
-func set(ids ...settings.UpstreamID) *rank.Set { return rank.New(ids) }
+func set(ids ...settings.UpstreamID) *rendezvous.Set { return rendezvous.New(ids) }
 
 // keyOf returns a key whose home is from in the first set and to in the second.
-func keyOf(first, second *rank.Set, from, to settings.UpstreamID) string {
+func keyOf(first, second *rendezvous.Set, from, to settings.UpstreamID) string {
 	for i := 0; ; i++ {
 		key := fmt.Sprint("key-", i)
 		a, _ := first.Home(HashKey(key))
@@ -31,7 +31,7 @@
 }
 
 // begin puts the first set in force and lets every other side speak up.
-func begin(h *Primaries, first *rank.Set) {
+func begin(h *Primaries, first *rendezvous.Set) {
 	h.Apply(at(-time.Second), Change{Revision: 1, Set: first})
 	for _, id := range first.IDs() {
 		h.AddReleaseAck(at(-time.Second), id, 1, 1, true)
--- a/core/readers/decide.go
+++ b/core/readers/decide.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"rattantrack.dev/core/rank"
+	"rattantrack.dev/core/rendezvous"
 	"rattantrack.dev/core/settings"
 )
 
@@ -60,6 +60,6 @@
 		}
 	}
 	var top [count]settings.UpstreamID
-	n := rank.New(ids).Top(key, top[:])
+	n := rendezvous.New(ids).Top(key, top[:])
 	return slices.Contains(top[:n], settings.UpstreamID(s.Self.Address))
 }
--- a/core/recovery/owner.go
+++ b/core/recovery/owner.go
@@ -6,7 +6,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"rattantrack.dev/core/rank"
+	"rattantrack.dev/core/rendezvous"
 	"rattantrack.dev/core/settings"
 )
 
@@ -52,6 +52,6 @@
 	for i, address := range routers {
 		ids[i] = settings.UpstreamID(address)
 	}
-	first, _ := rank.New(ids).Home(xxhash.Sum64String(string(engine)))
+	first, _ := rendezvous.New(ids).Home(xxhash.Sum64String(string(engine)))
 	return string(first)
 }
--- /dev/null
+++ b/core/rendezvous/doc.go
@@ -0,0 +1,2 @@
+// Package rendezvous orders the upstreams of a service for a chat by rendezvous hashing.
+package rendezvous
--- a/core/rank/rank.go
+++ b/core/rendezvous/rank.go
@@ -1,4 +1,4 @@
-package rank
+package rendezvous
 
 import (
 	"slices"
--- a/router/internal/direct/place.go
+++ b/router/internal/direct/place.go
@@ -8,7 +8,7 @@
 	"rattantrack.dev/core/clock"
 	"rattantrack.dev/core/members"
 	"rattantrack.dev/core/placement"
-	"rattantrack.dev/core/rank"
+	"rattantrack.dev/core/rendezvous"
 	"rattantrack.dev/core/settings"
 )
 
@@ -141,7 +141,7 @@
 	if len(parts) == 0 {
 		return ranks
 	}
-	home, ok := rank.New(ids).Home(uint64(parts[len(parts)-1].ID))
+	home, ok := rendezvous.New(ids).Home(uint64(parts[len(parts)-1].ID))
 	for i, id := range ids {
 		if !ok || id != home {
 			ranks[i] = 1
--- a/router/internal/sides/attempt.go
+++ b/router/internal/sides/attempt.go
@@ -6,8 +6,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"rattantrack.dev/core/candidates"
 	"rattantrack.dev/core/peer"
-	"rattantrack.dev/core/route"
 	"rattantrack.dev/core/settings"
 )
 
@@ -51,7 +51,7 @@
 func (e *orderError) Error() string { return "chunk out of order" }
 
 // attempt submits the call to one side and relays what comes.
-func (d *Dispatcher) attempt(ctx context.Context, c *Call, p *progress, step route.Step) report {
+func (d *Dispatcher) attempt(ctx context.Context, c *Call, p *progress, step candidates.Step) report {
 	address, ok := d.View.Address(step.Side)
 	if !ok {
 		return report{ending: endUnreachable}
@@ -82,7 +82,7 @@
 	return r
 }
 
-func (d *Dispatcher) submission(c *Call, p *progress, step route.Step) *peer.Submit {
+func (d *Dispatcher) submission(c *Call, p *progress, step candidates.Step) *peer.Submit {
 	_, revision := d.View.Fleet()
 	now := d.Clock.Now()
 	return &peer.Submit{
@@ -182,7 +182,7 @@
 )
 
 // settle asks the side over a new link whether a lost attempt has started, and forbids its start otherwise.
-func (d *Dispatcher) settle(ctx context.Context, c *Call, p *progress, step route.Step, old *peer.Link, cause error) report {
+func (d *Dispatcher) settle(ctx context.Context, c *Call, p *progress, step candidates.Step, old *peer.Link, cause error) report {
 	address, _ := d.View.Address(step.Side)
 	for range queryTries {
 		l, err := d.Endpoint.Redial(ctx, address, old)
--- a/router/internal/sides/dispatch.go
+++ b/router/internal/sides/dispatch.go
@@ -8,10 +8,10 @@
 	"github.com/charmbracelet/log"
 	"github.com/uber-go/tally/v4"
 
+	"rattantrack.dev/core/candidates"
 	"rattantrack.dev/core/outcome"
 	"rattantrack.dev/core/peer"
 	"rattantrack.dev/core/retry"
-	"rattantrack.dev/core/route"
 	"rattantrack.dev/core/settings"
 	"rattantrack.dev/core/ticket"
 )
@@ -81,13 +81,13 @@
 	}
 }
 
-func (d *Dispatcher) walk(c *Call, hint settings.UpstreamID) route.Order {
+func (d *Dispatcher) walk(c *Call, hint settings.UpstreamID) candidates.Order {
 	key := c.Chat
 	if key == 0 {
 		// Calls that are no chats return to nothing and are spread.
 		key = rand.Uint64()
 	}
-	return route.New(d.View.Usable(c.Profile.Service), key, hint)
+	return candidates.New(d.View.Usable(c.Profile.Service), key, hint)
 }
 
 // note remembers what a refusal says about the side itself.
@@ -124,7 +124,7 @@
 		if !ok {
 			return Result{Outcome: peer.OutcomeUnknown, Code: CodeNoUpstream}
 		}
-		r := d.attempt(ctx, c, p, route.Step{Side: home})
+		r := d.attempt(ctx, c, p, candidates.Step{Side: home})
 		switch r.ending {
 		case endDone:
 			return Result{Outcome: peer.OutcomeDone, Side: home, Asks: 1}
@@ -185,7 +185,7 @@
 
 // Issue gets a ticket from a side of the profile's service.
 func (d *Dispatcher) Issue(ctx context.Context, name settings.ProfileName, p settings.Profile) (*peer.TicketIssued, error) {
-	walk := route.New(d.View.Usable(p.Service), rand.Uint64(), "")
+	walk := candidates.New(d.View.Usable(p.Service), rand.Uint64(), "")
 	var last error
 	for {
 		step, ok := walk.Next()
--- a/router/internal/sides/search.go
+++ b/router/internal/sides/search.go
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"time"
 
+	"rattantrack.dev/core/candidates"
 	"rattantrack.dev/core/peer"
-	"rattantrack.dev/core/route"
 	"rattantrack.dev/core/settings"
 )
 
@@ -16,7 +16,7 @@
 	d       *Dispatcher
 	c       *Call
 	p       *progress
-	walk    route.Order
+	walk    candidates.Order
 	retries int
 	// refusal is the latest refusal, and unreachable says that a side could not be reached in this walk.
 	refusal     *peer.Refuse
@@ -24,7 +24,7 @@
 }
 
 // attempted takes in the end of an attempt; it reports the call's result where there is one.
-func (s *search) attempted(ctx context.Context, step route.Step, r report) (Result, bool) {
+func (s *search) attempted(ctx context.Context, step candidates.Step, r report) (Result, bool) {
 	switch r.ending {
 	case endDone:
 		s.d.tellHome(ctx, s.c, s.walk.Primary(), step.Side)
@@ -53,7 +53,7 @@
 }
 
 // refused follows a side's word where to go instead.
-func (s *search) refused(step route.Step, r *peer.Refuse) {
+func (s *search) refused(step candidates.Step, r *peer.Refuse) {
 	s.refusal = r
 	if r.CacheOwner != "" {
 		s.p.holder = r.CacheOwner
@@ -66,7 +66,7 @@
 }
 
 // moved goes on at the side to which the answer moves; the old side still holds the prefix.
-func (s *search) moved(step route.Step, r report) {
+func (s *search) moved(step candidates.Step, r report) {
 	s.p.started = s.p.started || r.started
 	s.p.holder = step.Side
 	s.p.moves++
@@ -75,7 +75,7 @@
 }
 
 // again begins a new walk without the side that has failed the call, if the call may be repeated.
-func (s *search) again(ctx context.Context, step route.Step) (Result, bool) {
+func (s *search) again(ctx context.Context, step candidates.Step) (Result, bool) {
 	if code, ok := s.mayRetry(ctx); !ok {
 		return s.given(code), true
 	}
--- a/router/internal/sides/view.go
+++ b/router/internal/sides/view.go
@@ -6,7 +6,7 @@
 
 	"rattantrack.dev/core/clock"
 	"rattantrack.dev/core/configuration"
-	"rattantrack.dev/core/rank"
+	"rattantrack.dev/core/rendezvous"
 	"rattantrack.dev/core/revision"
 	"rattantrack.dev/core/settings"
 )
@@ -44,13 +44,13 @@
 	leaving  map[string]bool
 	avoided  map[settings.UpstreamID]avoidance
 	routers  []string
-	declared map[settings.ServiceName]*rank.Set
+	declared map[settings.ServiceName]*rendezvous.Set
 	usable   map[settings.ServiceName]cachedSet
 }
 
 // cachedSet is a set of usable sides until the first avoidance ends.
 type cachedSet struct {
-	set   *rank.Set
+	set   *rendezvous.Set
 	until clock.Instant
 }
 
@@ -63,9 +63,9 @@
 	if !c.UpstreamsChanged() {
 		return
 	}
-	v.declared = make(map[settings.ServiceName]*rank.Set)
+	v.declared = make(map[settings.ServiceName]*rendezvous.Set)
 	for name := range c.Fleet.Services {
-		v.declared[name] = rank.New(c.Fleet.UpstreamsOf(name))
+		v.declared[name] = rendezvous.New(c.Fleet.UpstreamsOf(name))
 	}
 	v.usable = nil
 }
@@ -114,17 +114,17 @@
 }
 
 // Declared returns the declared sides of a service, whatever is believed of their state.
-func (v *View) Declared(name settings.ServiceName) *rank.Set {
+func (v *View) Declared(name settings.ServiceName) *rendezvous.Set {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if set := v.declared[name]; set != nil {
 		return set
 	}
-	return &rank.Set{}
+	return &rendezvous.Set{}
 }
 
 // Usable returns the sides of a service that may get new work; if there seem to be none, all declared ones.
-func (v *View) Usable(name settings.ServiceName) *rank.Set {
+func (v *View) Usable(name settings.ServiceName) *rendezvous.Set {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.Clock.Now()
@@ -144,7 +144,7 @@
 func (v *View) compute(now clock.Instant, name settings.ServiceName) cachedSet {
 	declared := v.declared[name]
 	if declared == nil {
-		declared = &rank.Set{}
+		declared = &rendezvous.Set{}
 	}
 	cached := cachedSet{set: declared, until: now.Add(cacheTime)}
 	var ids []settings.UpstreamID
@@ -159,7 +159,7 @@
 		}
 	}
 	if len(ids) > 0 {
-		cached.set = rank.New(ids)
+		cached.set = rendezvous.New(ids)
 	}
 	return cached
 }
--- a/side/internal/router/door.go
+++ b/side/internal/router/door.go
@@ -14,7 +14,7 @@
 	"rattantrack.dev/core/meanload"
 	"rattantrack.dev/core/outcome"
 	"rattantrack.dev/core/peer"
-	"rattantrack.dev/core/rank"
+	"rattantrack.dev/core/rendezvous"
 	"rattantrack.dev/core/revision"
 	"rattantrack.dev/core/settings"
 	"rattantrack.dev/core/ticket"
@@ -56,7 +56,7 @@
 	service  settings.Service
 	name     settings.ServiceName
 	revision settings.Revision
-	set      *rank.Set
+	set      *rendezvous.Set
 	siblings []string
 	// former holds the addresses of sides that are no longer declared.
 	former    map[settings.UpstreamID]string
@@ -195,7 +195,7 @@
 
 // setUpstreams takes in the declared upstreams of the service; the caller holds the lock.
 func (d *Server) setUpstreams(f *settings.Declarations) {
-	d.set = rank.New(f.UpstreamsOf(d.name))
+	d.set = rendezvous.New(f.UpstreamsOf(d.name))
 	d.siblings = make([]string, 0, d.set.Len())
 	for _, id := range d.set.IDs() {
 		if id != d.Self {
--- a/standin/internal/bench/capacity.go
+++ b/standin/internal/bench/capacity.go
@@ -13,8 +13,8 @@
 	"github.com/charmbracelet/log"
 	"github.com/cockroachdb/errors"
 
+	"rattantrack.dev/core/cacheowner"
 	"rattantrack.dev/core/clock"
-	"rattantrack.dev/core/holder"
 	"rattantrack.dev/core/outcome"
 	"rattantrack.dev/core/peer"
 	"rattantrack.dev/core/revision"
@@ -319,7 +319,7 @@
 // tables measures the memory of a side's directory and keys.
 func tables(w *Writer) error {
 	for _, n := range tableCounts {
-		d := &holder.Table{MaxEntries: n}
+		d := &cacheowner.Table{MaxEntries: n}
 		used := heapOf(func() {
 			for i := range n {
 				d.RecordServed(uint64(i)*0x9e3779b97f4a7c15, settings.UpstreamID(fmt.Sprintf("letterhouse-%04d", i%1015)))
--- a/standin/internal/fleet/outcome_test.go
+++ b/standin/internal/fleet/outcome_test.go
@@ -12,7 +12,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"rattantrack.dev/core/outcome"
-	"rattantrack.dev/core/rank"
+	"rattantrack.dev/core/rendezvous"
 	"rattantrack.dev/core/settings"
 	"rattantrack.dev/standin/internal/engine"
 	"rattantrack.dev/standin/internal/plain"
@@ -59,7 +59,7 @@
 		ids = append(ids, u.ID)
 	}
 	full := fmt.Sprintf("%s\x00debit\x00%s", Team, name)
-	home, _ := rank.New(ids).Home(outcome.HashKey(full))
+	home, _ := rendezvous.New(ids).Home(outcome.HashKey(full))
 	for _, u := range f.Plains {
 		if u.ID == home {
 			return u
