--- a/core/peer/router.go
+++ b/core/peer/router.go
@@ -7,7 +7,7 @@
 	"rattantrack.dev/core/inflight"
 	"rattantrack.dev/core/members"
 	"rattantrack.dev/core/settings"
-	"rattantrack.dev/core/silence"
+	"rattantrack.dev/core/unresponsive"
 )
 
 // RouterState is what one router tells another, and the answer to it.
@@ -21,7 +21,7 @@
 	// Open is the number of requests that it has open at each upstream.
 	Open inflight.Counts
 	// Responsiveness is what the router hears of upstreams, but for those that answer the requests in Open.
-	Responsiveness silence.Observations
+	Responsiveness unresponsive.Observations
 	// HasCacheEntries says that it knows which prompts are cached where, from its own time or from the engines.
 	HasCacheEntries bool
 	// WantsCacheEntries asks a router that knows them for all cached prompts.
--- a/core/recovery/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package recovery decides which router asks an engine for the prompts that it caches after all routers have restarted.
-package recovery
--- a/core/silence/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package silence finds upstreams that take requests and answer nothing, by what all routers hear of them.
-package silence
--- a/core/silence/detector_test.go
+++ b/core/unresponsive/detector_test.go
@@ -1,4 +1,4 @@
-package silence
+package unresponsive
 
 import (
 	"fmt"
--- /dev/null
+++ b/core/unresponsive/doc.go
@@ -0,0 +1,2 @@
+// Package unresponsive finds upstreams that take requests and answer nothing, by what all routers hear of them.
+package unresponsive
--- a/core/recovery/owner.go
+++ b/core/warmup/owner.go
@@ -1,4 +1,4 @@
-package recovery
+package warmup
 
 import (
 	"slices"
--- a/router/internal/app/direct.go
+++ b/router/internal/app/direct.go
@@ -25,8 +25,8 @@
 	"rattantrack.dev/core/revision"
 	"rattantrack.dev/core/routing"
 	"rattantrack.dev/core/settings"
-	"rattantrack.dev/core/silence"
 	"rattantrack.dev/core/spread"
+	"rattantrack.dev/core/unresponsive"
 	"rattantrack.dev/core/waiting"
 	"rattantrack.dev/platform"
 	"rattantrack.dev/router/internal/client"
@@ -67,7 +67,7 @@
 	members     *members.Registry
 	affinity    *affinity.Index
 	outliers    *outlier.Detector
-	silence     *silence.Detector
+	silence     *unresponsive.Detector
 	connections *upstream.Pool
 	endpoint    *peer.Endpoint
 	spread      *spread.Service
@@ -91,7 +91,7 @@
 		members:  &members.Registry{},
 		affinity: &affinity.Index{},
 		outliers: &outlier.Detector{},
-		silence:  &silence.Detector{},
+		silence:  &unresponsive.Detector{},
 	}
 	var incarnation peer.Incarnation
 	var err error
@@ -186,7 +186,7 @@
 			d.log.Info("upstream heard again", "upstream", id)
 			return
 		}
-		d.log.Warn("upstream silent", "upstream", id, "quiet_ms", silence.ResponseTimeout.Milliseconds())
+		d.log.Warn("upstream silent", "upstream", id, "quiet_ms", unresponsive.ResponseTimeout.Milliseconds())
 	}
 	d.client = &client.Server{
 		Address:    d.cfg.Caller,
--- a/router/internal/direct/dispatch.go
+++ b/router/internal/direct/dispatch.go
@@ -20,7 +20,7 @@
 	"rattantrack.dev/core/placement"
 	"rattantrack.dev/core/retry"
 	"rattantrack.dev/core/settings"
-	"rattantrack.dev/core/silence"
+	"rattantrack.dev/core/unresponsive"
 	"rattantrack.dev/core/waiting"
 	"rattantrack.dev/router/internal/upstream"
 )
@@ -54,7 +54,7 @@
 	InFlight     *inflight.Tracker
 	Affinity     *affinity.Index
 	Outliers     *outlier.Detector
-	Unresponsive *silence.Detector
+	Unresponsive *unresponsive.Detector
 	Queues       *waiting.Queues
 	Budget       *retry.FleetBudget
 	Connections  Connections
--- a/router/internal/direct/dispatch_test.go
+++ b/router/internal/direct/dispatch_test.go
@@ -26,7 +26,7 @@
 	"rattantrack.dev/core/peer"
 	"rattantrack.dev/core/retry"
 	"rattantrack.dev/core/settings"
-	"rattantrack.dev/core/silence"
+	"rattantrack.dev/core/unresponsive"
 	"rattantrack.dev/core/waiting"
 	"rattantrack.dev/router/internal/upstream"
 )
@@ -165,7 +165,7 @@
 	c := qt.New(t)
 	b := &bench{Dispatcher: &Dispatcher{
 		DataCentre: "kano", Members: &members.Registry{}, InFlight: &inflight.Tracker{}, Affinity: &affinity.Index{},
-		Outliers: &outlier.Detector{}, Unresponsive: &silence.Detector{}, Queues: &waiting.Queues{},
+		Outliers: &outlier.Detector{}, Unresponsive: &unresponsive.Detector{}, Queues: &waiting.Queues{},
 		Budget:      &retry.FleetBudget{Limits: retry.Limits{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}},
 		Connections: &upstream.Pool{Dialect: testDialect{}},
 		Dialect:     testDialect{}, Warmup: warmCache{}, Clock: clock.Boot{}, Log: log.New(io.Discard), Scope: tally.NoopScope,
--- a/router/internal/engines/inventory.go
+++ b/router/internal/engines/inventory.go
@@ -14,8 +14,8 @@
 	"rattantrack.dev/core/call"
 	"rattantrack.dev/core/clock"
 	"rattantrack.dev/core/members"
-	"rattantrack.dev/core/recovery"
 	"rattantrack.dev/core/settings"
+	"rattantrack.dev/core/warmup"
 )
 
 // Times of the inventory.
@@ -166,14 +166,14 @@
 
 // ask begins to ask the engines that fall to this router, and reports whether all engines have been asked by somebody.
 func (v *Warmup) ask(ctx context.Context, elapsed time.Duration, asking chan struct{}, wg *sync.WaitGroup) bool {
-	state := recovery.State{Self: v.Address, Seeds: v.Seeds, Reachable: v.Routers.Reachable(), Elapsed: elapsed}
+	state := warmup.State{Self: v.Address, Seeds: v.Seeds, Reachable: v.Routers.Reachable(), Elapsed: elapsed}
 	all := true
 	for _, i := range v.engines() {
 		if v.Routers.CacheQueriedByOthers(i.ID) || v.answered(i.ID) {
 			continue
 		}
 		all = false
-		if !recovery.Assigned(state, i.ID) || !v.begin(i.ID, asking) {
+		if !warmup.Assigned(state, i.ID) || !v.begin(i.ID, asking) {
 			continue
 		}
 		wg.Add(1)
--- a/router/internal/engines/inventory_test.go
+++ b/router/internal/engines/inventory_test.go
@@ -16,8 +16,8 @@
 	"rattantrack.dev/core/call"
 	"rattantrack.dev/core/clock"
 	"rattantrack.dev/core/members"
-	"rattantrack.dev/core/recovery"
 	"rattantrack.dev/core/settings"
+	"rattantrack.dev/core/warmup"
 )
 
 // fakeAsker counts the questions to each engine.
@@ -88,9 +88,9 @@
 	asker := &fakeAsker{asked: make(map[settings.UpstreamID]int)}
 	asked := map[settings.UpstreamID]bool{"e1": true, "e2": true, "e3": true, "e4": true}
 	later := newInventory("a", asker, &fakeRouters{asked: asked})
-	c.Assert(askAll(later, recovery.TakeoverDelay), qt.IsFalse)
+	c.Assert(askAll(later, warmup.TakeoverDelay), qt.IsFalse)
 	c.Assert(later.Queried(), qt.HasLen, 2)
-	c.Assert(askAll(later, recovery.TakeoverDelay), qt.IsTrue)
+	c.Assert(askAll(later, warmup.TakeoverDelay), qt.IsTrue)
 	c.Assert(asker.asked, qt.HasLen, 2)
 }
 
@@ -99,8 +99,8 @@
 	c := qt.New(t)
 	asker := &fakeAsker{asked: make(map[settings.UpstreamID]int), err: errors.New("down")}
 	v := newInventory("a", asker, &fakeRouters{})
-	askAll(v, recovery.TakeoverDelay)
-	c.Assert(askAll(v, recovery.TakeoverDelay), qt.IsTrue)
+	askAll(v, warmup.TakeoverDelay)
+	c.Assert(askAll(v, warmup.TakeoverDelay), qt.IsTrue)
 	for id, n := range asker.asked {
 		c.Assert(n, qt.Equals, 1, qt.Commentf("engine %s", id))
 	}
--- a/router/internal/routers/service.go
+++ b/router/internal/routers/service.go
@@ -15,7 +15,7 @@
 	"rattantrack.dev/core/members"
 	"rattantrack.dev/core/peer"
 	"rattantrack.dev/core/settings"
-	"rattantrack.dev/core/silence"
+	"rattantrack.dev/core/unresponsive"
 )
 
 // Times and sizes of the exchange.
@@ -90,7 +90,7 @@
 	Seeds        []string
 	Dialer       Dialer
 	InFlight     *inflight.Tracker
-	Unresponsive *silence.Detector
+	Unresponsive *unresponsive.Detector
 	Affinity     *affinity.Index
 	Members      *members.Registry
 	Clock        Clock
--- a/router/internal/routers/service_test.go
+++ b/router/internal/routers/service_test.go
@@ -20,7 +20,7 @@
 	"rattantrack.dev/core/members"
 	"rattantrack.dev/core/peer"
 	"rattantrack.dev/core/settings"
-	"rattantrack.dev/core/silence"
+	"rattantrack.dev/core/unresponsive"
 )
 
 // node is one router with its listener.
@@ -62,7 +62,7 @@
 		}
 		one.service = &Service{
 			ID: inflight.RouterID(id), Address: address, Cores: float64(i + 1), Incarnation: peer.Incarnation(id), Seeds: []string{seed},
-			Dialer: one.endpoint, InFlight: one.ledger, Unresponsive: &silence.Detector{}, Affinity: one.affinity, Members: one.members, Clock: clock.Boot{},
+			Dialer: one.endpoint, InFlight: one.ledger, Unresponsive: &unresponsive.Detector{}, Affinity: one.affinity, Members: one.members, Clock: clock.Boot{},
 			Log: log.New(io.Discard), Scope: tally.NoopScope, HasCacheEntries: func() bool { return true },
 			DirectoryState: func() (time.Duration, bool) { return 0, false },
 			CacheQueried:   func() []settings.UpstreamID { return nil },
@@ -157,7 +157,7 @@
 func TestOnlyARouterThatStartsIsToldAllPrompts(t *testing.T) {
 	c := qt.New(t)
 	s := &Service{
-		ID: "a", Address: "127.0.0.1:1", InFlight: &inflight.Tracker{}, Unresponsive: &silence.Detector{}, Affinity: &affinity.Index{}, Members: &members.Registry{},
+		ID: "a", Address: "127.0.0.1:1", InFlight: &inflight.Tracker{}, Unresponsive: &unresponsive.Detector{}, Affinity: &affinity.Index{}, Members: &members.Registry{},
 		Clock: clock.Boot{}, HasCacheEntries: func() bool { return true }, DirectoryState: func() (time.Duration, bool) { return 0, false },
 		CacheQueried: func() []settings.UpstreamID { return nil },
 	}
@@ -179,7 +179,7 @@
 func TestRouterThatBecomesKnownLaterHearsTheLatestNews(t *testing.T) {
 	c := qt.New(t)
 	s := &Service{
-		ID: "a", Address: "127.0.0.1:1", InFlight: &inflight.Tracker{}, Unresponsive: &silence.Detector{}, Affinity: &affinity.Index{}, Members: &members.Registry{},
+		ID: "a", Address: "127.0.0.1:1", InFlight: &inflight.Tracker{}, Unresponsive: &unresponsive.Detector{}, Affinity: &affinity.Index{}, Members: &members.Registry{},
 		Clock: clock.Boot{}, HasCacheEntries: func() bool { return true }, DirectoryState: func() (time.Duration, bool) { return 0, false },
 		CacheQueried: func() []settings.UpstreamID { return nil },
 	}
