--- a/core/spread/spread_test.go
+++ b/core/gossip/spread_test.go
@@ -1,4 +1,4 @@
-package spread
+package gossip
 
 import (
 	"context"
--- a/core/readers/decide.go
+++ b/core/polling/decide.go
@@ -1,4 +1,4 @@
-package readers
+package polling
 
 import (
 	"slices"
--- a/core/readers/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package readers decides which routers read the platform's directory themselves; the others learn of changes from them.
-package readers
--- a/core/spread/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package spread brings accepted versions of the declarations to every process over links between neighbours.
-package spread
--- a/rattantrack/internal/process/client.go
+++ b/rattantrack/internal/process/client.go
@@ -9,8 +9,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"rattantrack.dev/core/gossip"
 	"rattantrack.dev/core/settings"
-	"rattantrack.dev/core/spread"
 )
 
 // Bounds of one question.
@@ -69,7 +69,7 @@
 
 // Revision returns the revision in force in a state.
 func Revision(sections []Section) settings.Revision {
-	var s spread.Status
+	var s gossip.Status
 	if !Find(sections, "spread", &s) {
 		return 0
 	}
--- a/router/internal/app/app.go
+++ b/router/internal/app/app.go
@@ -9,12 +9,12 @@
 
 	"rattantrack.dev/core/clock"
 	vmservices "rattantrack.dev/core/configuration"
+	"rattantrack.dev/core/gossip"
 	"rattantrack.dev/core/kernel"
 	"rattantrack.dev/core/operator"
 	"rattantrack.dev/core/peer"
 	"rattantrack.dev/core/revision"
 	"rattantrack.dev/core/settings"
-	"rattantrack.dev/core/spread"
 	"rattantrack.dev/router/internal/caller"
 	"rattantrack.dev/router/internal/configuration"
 	"rattantrack.dev/router/internal/sides"
@@ -35,7 +35,7 @@
 	view       *sides.View
 	endpoint   *peer.Endpoint
 	dispatcher *sides.Dispatcher
-	spread     *spread.Service
+	spread     *gossip.Service
 	caller     *caller.Server
 	watch      *configuration.Watch
 	announcer  *operator.Announcer
@@ -55,7 +55,7 @@
 	r.endpoint.MaxDialled = maxDialled
 	scope := r.metrics.Scope
 	r.dispatcher = &sides.Dispatcher{View: r.view, Endpoint: r.endpoint, Clock: clock.Boot{}, Log: l, Scope: scope}
-	r.spread = &spread.Service{Store: r.store, Dialer: r.endpoint, Log: l, Candidates: r.candidates}
+	r.spread = &gossip.Service{Store: r.store, Dialer: r.endpoint, Log: l, Candidates: r.candidates}
 	r.caller = &caller.Server{
 		Config:       cfg,
 		Dispatcher:   r.dispatcher,
@@ -82,7 +82,7 @@
 // candidates returns the processes that this one may exchange declarations with.
 func (r *Router) candidates() []string {
 	fleet, _ := r.view.Fleet()
-	all := append(spread.SideAddresses(fleet), r.view.Routers()...)
+	all := append(gossip.SideAddresses(fleet), r.view.Routers()...)
 	var list []string
 	for _, address := range append(all, r.cfg.Peers...) {
 		if address != r.cfg.Advertise {
--- a/router/internal/app/direct.go
+++ b/router/internal/app/direct.go
@@ -14,18 +14,18 @@
 
 	"rattantrack.dev/core/affinity"
 	"rattantrack.dev/core/clock"
+	"rattantrack.dev/core/gossip"
 	"rattantrack.dev/core/inflight"
 	"rattantrack.dev/core/kernel"
 	"rattantrack.dev/core/members"
 	"rattantrack.dev/core/operator"
 	"rattantrack.dev/core/outlier"
 	"rattantrack.dev/core/peer"
-	"rattantrack.dev/core/readers"
+	"rattantrack.dev/core/polling"
 	"rattantrack.dev/core/retry"
 	"rattantrack.dev/core/revision"
 	"rattantrack.dev/core/routing"
 	"rattantrack.dev/core/settings"
-	"rattantrack.dev/core/spread"
 	"rattantrack.dev/core/unresponsive"
 	"rattantrack.dev/core/waiting"
 	"rattantrack.dev/platform"
@@ -70,7 +70,7 @@
 	silence     *unresponsive.Detector
 	connections *upstream.Pool
 	endpoint    *peer.Endpoint
-	spread      *spread.Service
+	spread      *gossip.Service
 	routers     *routers.Service
 	client      *client.Server
 	watch       *directory.Watcher
@@ -137,9 +137,9 @@
 		CacheQueried:    func() []settings.UpstreamID { return d.inventory.Queried() },
 		OnEvents:        d.changed,
 	}
-	d.spread = &spread.Service{Store: d.store, Dialer: d.endpoint, Log: d.log, Candidates: d.routers.Known}
+	d.spread = &gossip.Service{Store: d.store, Dialer: d.endpoint, Log: d.log, Candidates: d.routers.Known}
 	d.watch = &directory.Watcher{
-		Self:      readers.Candidate{Address: d.cfg.Advertise, Cores: d.cfg.Direct.Cores},
+		Self:      polling.Candidate{Address: d.cfg.Advertise, Cores: d.cfg.Direct.Cores},
 		Routers:   d.routers,
 		Source:    &platform.Store{URL: d.cfg.Direct.Directory, HTTP: directoryClient()},
 		Store:     d.store,
--- a/router/internal/directory/watch.go
+++ b/router/internal/directory/watch.go
@@ -13,7 +13,7 @@
 	"rattantrack.dev/core/clock"
 	"rattantrack.dev/core/directory"
 	"rattantrack.dev/core/members"
-	"rattantrack.dev/core/readers"
+	"rattantrack.dev/core/polling"
 	"rattantrack.dev/core/revision"
 	"rattantrack.dev/core/settings"
 )
@@ -60,7 +60,7 @@
 // Routers knows what the other routers tell of the directory.
 type Routers interface {
 	// Pollers returns the routers that can read it.
-	Pollers() []readers.Candidate
+	Pollers() []polling.Candidate
 	// LastDirectoryRead returns when, at the latest, one of them knew the whole directory.
 	LastDirectoryRead() clock.Instant
 }
@@ -68,7 +68,7 @@
 // Watcher follows the directory and keeps members and declarations in step.
 type Watcher struct {
 	// Self is this router.
-	Self    readers.Candidate
+	Self    polling.Candidate
 	Routers Routers
 	Source  Source
 	Store   *revision.Store
@@ -126,7 +126,7 @@
 	w.mu.Unlock()
 	_, fleet := w.Store.Current()
 	reads := !known || fleet == nil || !w.Members.Complete() ||
-		readers.Selected(readers.State{Self: w.Self, Others: w.Routers.Pollers(), UpdateAge: now.Sub(told)})
+		polling.Selected(polling.State{Self: w.Self, Others: w.Routers.Pollers(), UpdateAge: now.Sub(told)})
 	if reads != w.reads {
 		w.reads = reads
 		w.Log.Info("directory reader", "reads", reads, "told", told != 0, "news_age_ms", newsAge(now, told).Milliseconds())
--- a/router/internal/routers/view.go
+++ b/router/internal/routers/view.go
@@ -2,7 +2,7 @@
 
 import (
 	"rattantrack.dev/core/clock"
-	"rattantrack.dev/core/readers"
+	"rattantrack.dev/core/polling"
 	"rattantrack.dev/core/settings"
 )
 
@@ -40,13 +40,13 @@
 }
 
 // Pollers returns the other routers that answered last and can read the directory.
-func (s *Service) Pollers() []readers.Candidate {
+func (s *Service) Pollers() []polling.Candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var list []readers.Candidate
+	var list []polling.Candidate
 	for address, r := range s.routers {
 		if address != s.Address && r.alive() && !r.failing {
-			list = append(list, readers.Candidate{Address: address, Cores: r.cores})
+			list = append(list, polling.Candidate{Address: address, Cores: r.cores})
 		}
 	}
 	return list
--- a/side/internal/app/app.go
+++ b/side/internal/app/app.go
@@ -9,12 +9,12 @@
 	"github.com/google/uuid"
 
 	"rattantrack.dev/core/clock"
+	"rattantrack.dev/core/gossip"
 	"rattantrack.dev/core/kernel"
 	"rattantrack.dev/core/operator"
 	"rattantrack.dev/core/peer"
 	"rattantrack.dev/core/revision"
 	"rattantrack.dev/core/settings"
-	"rattantrack.dev/core/spread"
 	"rattantrack.dev/core/ticket"
 	"rattantrack.dev/side/internal/router"
 	"rattantrack.dev/side/internal/sides"
@@ -33,7 +33,7 @@
 	endpoint *peer.Endpoint
 	door     *router.Server
 	sides    *sides.Service
-	spread   *spread.Service
+	spread   *gossip.Service
 	client   *upstream.Client
 	started  atomic.Bool
 }
@@ -74,7 +74,7 @@
 	prefixes := sides.NewPrefixTransfer(s.endpoint, s.client)
 	s.door.Prefixes = prefixes
 	s.sides = &sides.Service{Admission: s.door, Dialer: s.endpoint, Prefixes: prefixes}
-	s.spread = &spread.Service{Store: s.store, Dialer: s.endpoint, Log: l, Candidates: s.candidates}
+	s.spread = &gossip.Service{Store: s.store, Dialer: s.endpoint, Log: l, Candidates: s.candidates}
 	return s, nil
 }
 
@@ -95,7 +95,7 @@
 func (s *Side) candidates() []string {
 	_, fleet := s.store.Current()
 	var list []string
-	for _, address := range append(spread.SideAddresses(fleet), s.cfg.Peers...) {
+	for _, address := range append(gossip.SideAddresses(fleet), s.cfg.Peers...) {
 		if address != s.cfg.Peer {
 			list = append(list, address)
 		}
--- a/standin/internal/bench/capacity.go
+++ b/standin/internal/bench/capacity.go
@@ -15,11 +15,11 @@
 
 	"rattantrack.dev/core/cacheowner"
 	"rattantrack.dev/core/clock"
+	"rattantrack.dev/core/gossip"
 	"rattantrack.dev/core/outcome"
 	"rattantrack.dev/core/peer"
 	"rattantrack.dev/core/revision"
 	"rattantrack.dev/core/settings"
-	"rattantrack.dev/core/spread"
 	"rattantrack.dev/standin/internal/fleet"
 )
 
@@ -189,7 +189,7 @@
 type node struct {
 	store    *revision.Store
 	endpoint *peer.Endpoint
-	service  *spread.Service
+	service  *gossip.Service
 }
 
 // Serve gives messages to the spread service.
@@ -271,7 +271,7 @@
 func runNodes(ctx context.Context, nodes []*node, addresses []string, wg *sync.WaitGroup) {
 	for i, one := range nodes {
 		others := append(append([]string{}, addresses[:i]...), addresses[i+1:]...)
-		one.service = &spread.Service{
+		one.service = &gossip.Service{
 			Store:      one.store,
 			Dialer:     one.endpoint,
 			Log:        log.New(io.Discard),
--- a/standin/internal/fleet/declarations_test.go
+++ b/standin/internal/fleet/declarations_test.go
@@ -9,8 +9,8 @@
 
 	qt "github.com/frankban/quicktest"
 
+	"rattantrack.dev/core/gossip"
 	"rattantrack.dev/core/settings"
-	"rattantrack.dev/core/spread"
 	"rattantrack.dev/standin/internal/configuration"
 )
 
@@ -28,7 +28,7 @@
 	}
 	for _, s := range sections {
 		if s.Name == "spread" {
-			var status spread.Status
+			var status gossip.Status
 			err := json.Unmarshal(s.State, &status)
 			return status.Version.Revision, err
 		}
