--- a/core/spread/spread.go
+++ b/core/gossip/spread.go
@@ -1,4 +1,4 @@
-package spread
+package gossip
 
 import (
 	"context"
@@ -38,7 +38,7 @@
 	// Candidates returns the addresses of processes that may be neighbours.
 	Candidates func() []string
 
-	neighbours overlay.Neighbours
+	neighbours overlay.PeerSet
 	mu         sync.Mutex
 	// callers are the links over which other processes compared their versions with this one, the latest last.
 	callers []*peer.Link
@@ -185,7 +185,7 @@
 	s.mu.Unlock()
 	for _, l := range callers {
 		// A link that has ended is forgotten at the next comparison.
-		_ = peer.Tell(ctx, l, s.announcement())
+		_ = peer.Notify(ctx, l, s.announcement())
 	}
 }
 
@@ -250,7 +250,7 @@
 }
 
 // SideAddresses returns the peer addresses of the declared sides.
-func SideAddresses(f *settings.Fleet) []string {
+func SideAddresses(f *settings.Declarations) []string {
 	if f == nil {
 		return nil
 	}
--- a/router/internal/app/direct.go
+++ b/router/internal/app/direct.go
@@ -14,19 +14,19 @@
 
 	"rattantrack.dev/core/affinity"
 	"rattantrack.dev/core/clock"
+	"rattantrack.dev/core/gossip"
 	"rattantrack.dev/core/inflight"
 	"rattantrack.dev/core/kernel"
 	"rattantrack.dev/core/members"
 	"rattantrack.dev/core/operator"
 	"rattantrack.dev/core/outlier"
 	"rattantrack.dev/core/peer"
-	"rattantrack.dev/core/readers"
+	"rattantrack.dev/core/polling"
 	"rattantrack.dev/core/retry"
 	"rattantrack.dev/core/revision"
 	"rattantrack.dev/core/routing"
 	"rattantrack.dev/core/settings"
-	"rattantrack.dev/core/silence"
-	"rattantrack.dev/core/spread"
+	"rattantrack.dev/core/unresponsive"
 	"rattantrack.dev/core/waiting"
 	"rattantrack.dev/platform"
 	"rattantrack.dev/router/internal/client"
@@ -64,17 +64,17 @@
 	metrics *operator.Metrics
 
 	store       *revision.Store
-	members     *members.Book
-	affinity    *affinity.Directory
+	members     *members.Registry
+	affinity    *affinity.Index
 	outliers    *outlier.Detector
-	silence     *silence.Detector
+	silence     *unresponsive.Detector
 	connections *upstream.Pool
 	endpoint    *peer.Endpoint
-	spread      *spread.Service
+	spread      *gossip.Service
 	routers     *routers.Service
 	client      *client.Server
-	watch       *directory.Watch
-	inventory   *engines.Inventory
+	watch       *directory.Watcher
+	inventory   *engines.Warmup
 	readiness   *readiness
 	announcer   *operator.Announcer
 }
@@ -88,17 +88,17 @@
 		log:      l,
 		metrics:  operator.NewMetrics("router"),
 		store:    &revision.Store{},
-		members:  &members.Book{},
-		affinity: &affinity.Directory{},
+		members:  &members.Registry{},
+		affinity: &affinity.Index{},
 		outliers: &outlier.Detector{},
-		silence:  &silence.Detector{},
+		silence:  &unresponsive.Detector{},
 	}
 	var incarnation peer.Incarnation
 	var err error
 	if d.endpoint, incarnation, err = newEndpoint(cfg, d.store, d, l); err != nil {
 		return nil, err
 	}
-	d.endpoint.DialTime = linkDialTime
+	d.endpoint.DialTimeout = linkDialTime
 	d.connect(incarnation)
 	return d, nil
 }
@@ -114,48 +114,48 @@
 // connect makes the services and ties them to each other.
 func (d *Direct) connect(incarnation peer.Incarnation) {
 	scope := d.metrics.Scope
-	ledger := &inflight.Ledger{}
+	ledger := &inflight.Tracker{}
 	d.connections = &upstream.Pool{Dialect: platform.Dialect{}, OnDial: func(_ members.Instance, err error) {
 		scope.Tagged(map[string]string{"ok": yesNo(err == nil)}).Counter("upstream_connections").Inc(1)
 	}}
 	d.routers = &routers.Service{
-		ID:            inflight.RouterID(d.cfg.ID),
-		Address:       d.cfg.Advertise,
-		Incarnation:   incarnation,
-		Cores:         d.cfg.Direct.Cores,
-		Seeds:         d.cfg.Peers,
-		Dialer:        d.endpoint,
-		Ledger:        ledger,
-		Silence:       d.silence,
-		Affinity:      d.affinity,
-		Members:       d.members,
-		Clock:         clock.Boot{},
-		Log:           d.log,
-		Scope:         scope,
-		KnowsHoldings: func() bool { return d.inventory.Complete() },
-		Directory:     func() (time.Duration, bool) { return d.watch.State() },
-		Inventoried:   func() []settings.UpstreamID { return d.inventory.Asked() },
-		OnEvents:      d.changed,
+		ID:              inflight.RouterID(d.cfg.ID),
+		Address:         d.cfg.Advertise,
+		Incarnation:     incarnation,
+		Cores:           d.cfg.Direct.Cores,
+		Seeds:           d.cfg.Peers,
+		Dialer:          d.endpoint,
+		InFlight:        ledger,
+		Unresponsive:    d.silence,
+		Affinity:        d.affinity,
+		Members:         d.members,
+		Clock:           clock.Boot{},
+		Log:             d.log,
+		Scope:           scope,
+		HasCacheEntries: func() bool { return d.inventory.Complete() },
+		DirectoryState:  func() (time.Duration, bool) { return d.watch.State() },
+		CacheQueried:    func() []settings.UpstreamID { return d.inventory.Queried() },
+		OnEvents:        d.changed,
 	}
-	d.spread = &spread.Service{Store: d.store, Dialer: d.endpoint, Log: d.log, Candidates: d.routers.Known}
-	d.watch = &directory.Watch{
-		Self:     readers.Router{Address: d.cfg.Advertise, Cores: d.cfg.Direct.Cores},
-		Others:   d.routers,
-		Source:   &platform.Store{URL: d.cfg.Direct.Directory, HTTP: directoryClient()},
-		Store:    d.store,
-		Offer:    d.spread,
-		Members:  d.members,
-		Clock:    clock.Boot{},
-		Log:      d.log,
-		Scope:    scope,
-		OnEvents: d.changed,
-		Tell:     d.routers.Tell,
+	d.spread = &gossip.Service{Store: d.store, Dialer: d.endpoint, Log: d.log, Candidates: d.routers.Known}
+	d.watch = &directory.Watcher{
+		Self:      polling.Candidate{Address: d.cfg.Advertise, Cores: d.cfg.Direct.Cores},
+		Routers:   d.routers,
+		Source:    &platform.Store{URL: d.cfg.Direct.Directory, HTTP: directoryClient()},
+		Store:     d.store,
+		Offer:     d.spread,
+		Members:   d.members,
+		Clock:     clock.Boot{},
+		Log:       d.log,
+		Scope:     scope,
+		OnEvents:  d.changed,
+		Broadcast: d.routers.Broadcast,
 	}
-	d.inventory = &engines.Inventory{
+	d.inventory = &engines.Warmup{
 		Address:    d.cfg.Advertise,
-		Named:      d.cfg.Peers,
+		Seeds:      d.cfg.Peers,
 		FirstStart: d.cfg.Direct.FirstStart,
-		Asker:      platform.Engines{HTTP: &http.Client{}},
+		Cache:      platform.Engines{HTTP: &http.Client{}},
 		Routers:    d.routers,
 		Members:    d.members,
 		Services:   d.cachingServices,
@@ -164,29 +164,29 @@
 		Log:        d.log,
 		Scope:      scope,
 	}
-	repeats := d.cfg.Direct.Repeats
+	repeats := d.cfg.Direct.RetryBudget
 	dispatcher := &direct.Dispatcher{
-		DataCentre:  d.cfg.DataCentre,
-		Members:     d.members,
-		Ledger:      ledger,
-		Affinity:    d.affinity,
-		Outliers:    d.outliers,
-		Silence:     d.silence,
-		Queues:      &waiting.Queues{},
-		Budget:      &retry.Window{Terms: retry.Terms{Ratio: repeats.Ratio, Slack: repeats.Slack, Window: repeats.Window}},
-		Connections: d.connections,
-		Dialect:     platform.Dialect{},
-		Cached:      d.inventory,
-		Clock:       clock.Boot{},
-		Log:         d.log,
-		Scope:       scope,
+		DataCentre:   d.cfg.DataCentre,
+		Members:      d.members,
+		InFlight:     ledger,
+		Affinity:     d.affinity,
+		Outliers:     d.outliers,
+		Unresponsive: d.silence,
+		Queues:       &waiting.Queues{},
+		Budget:       &retry.FleetBudget{Limits: retry.Limits{Ratio: repeats.Ratio, Slack: repeats.Slack, Window: repeats.Window}},
+		Connections:  d.connections,
+		Dialect:      platform.Dialect{},
+		Warmup:       d.inventory,
+		Clock:        clock.Boot{},
+		Log:          d.log,
+		Scope:        scope,
 	}
 	d.silence.OnChange = func(id settings.UpstreamID, silent bool) {
 		if !silent {
 			d.log.Info("upstream heard again", "upstream", id)
 			return
 		}
-		d.log.Warn("upstream silent", "upstream", id, "quiet_ms", silence.Limit.Milliseconds())
+		d.log.Warn("upstream silent", "upstream", id, "quiet_ms", unresponsive.ResponseTimeout.Milliseconds())
 	}
 	d.client = &client.Server{
 		Address:    d.cfg.Caller,
@@ -269,7 +269,7 @@
 
 // ready reports whether the balancer should send connections.
 func (d *Direct) ready() bool {
-	return d.client.Known() && d.members.Known() && d.inventory.Warm() && !d.client.Leaving()
+	return d.client.HasDeclarations() && d.members.Complete() && d.inventory.Warm() && !d.client.Stopping()
 }
 
 // Serve gives a peer's message to the service that answers it.
@@ -296,7 +296,7 @@
 			Dumpers: []operator.Dumper{d.client, d.members, d.routers, d.spread, &operator.Links{Endpoint: d.endpoint}},
 		},
 		d.readiness,
-		&peer.Listener{Address: d.cfg.Peer, Endpoint: d.endpoint, IdleTime: idleLinkTime},
+		&peer.Listener{Address: d.cfg.Peer, Endpoint: d.endpoint, IdleTimeout: idleLinkTime},
 		d.connections,
 		d.routers,
 		d.watch,
--- a/router/internal/client/server_test.go
+++ b/router/internal/client/server_test.go
@@ -44,7 +44,7 @@
 	if d.result.Outcome != "" {
 		return d.result
 	}
-	if err := sink.Head(http.StatusOK, http.Header{}, 2); err != nil {
+	if err := sink.WriteHead(http.StatusOK, http.Header{}, 2); err != nil {
 		return direct.Result{Outcome: peer.OutcomeUnknown, Code: direct.CodeClientGone}
 	}
 	_ = sink.Write([]byte("ok"), false)
@@ -64,7 +64,7 @@
 		WriteTime:  200 * time.Millisecond,
 		Dispatcher: d, Dialect: plainDialect{}, Clock: clock.Boot{}, Log: log.New(io.Discard), Scope: tally.NoopScope,
 	}
-	fleet := &settings.Fleet{
+	fleet := &settings.Declarations{
 		Services: map[settings.ServiceName]settings.Service{"desk": {}},
 		Routes: map[settings.RouteName]settings.Route{"r": {
 			Host: "desk.example", PathPrefix: "/a/", Kind: settings.RouteOnce, Timeout: 5 * time.Second, Attempts: 1,
--- a/router/internal/direct/attempt.go
+++ b/router/internal/direct/attempt.go
@@ -33,12 +33,12 @@
 func (x *exchange) attempt(ctx context.Context, i members.Instance) attempt.Ending {
 	d := x.d
 	now := d.Clock.Now()
-	d.Ledger.Begin(i.ID)
+	d.InFlight.Begin(i.ID)
 	defer func() {
-		d.Ledger.End(i.ID)
-		d.Queues.Ended(d.Clock.Now(), x.Service)
+		d.InFlight.End(i.ID)
+		d.Queues.RequestEnded(d.Clock.Now(), x.Service)
 	}()
-	conn, err := d.Connections.Get(ctx, i, !x.Terms.Repeatable())
+	conn, err := d.Connections.Get(ctx, i, !x.RouteConfig.Repeatable())
 	if err != nil {
 		if ctx.Err() != nil {
 			return attempt.ClientGone
@@ -46,11 +46,11 @@
 		return attempt.NotSent
 	}
 	x.res.Upstream = i.ID
-	if x.Terms.Affinity {
-		d.Affinity.Used(now, x.Parts, i.ID)
+	if x.RouteConfig.Affinity {
+		d.Affinity.RecordUse(now, x.PromptBlocks, i.ID)
 	}
-	d.Silence.Begin(d.Clock.Now(), i.ID)
-	defer d.Silence.End(i.ID)
+	d.Unresponsive.Begin(d.Clock.Now(), i.ID)
+	defer d.Unresponsive.End(i.ID)
 	stop := context.AfterFunc(ctx, conn.Close)
 	watch := x.watch(conn)
 	res, err := conn.Do(x.outgoing(i))
@@ -60,7 +60,7 @@
 		conn.Close()
 		return x.unanswered(ctx, i, err)
 	}
-	d.Silence.Heard(d.Clock.Now(), i.ID)
+	d.Unresponsive.ResponseReceived(d.Clock.Now(), i.ID)
 	if x.res.FirstByte == 0 {
 		x.res.FirstByte = d.Clock.Now().Sub(x.Arrived)
 	}
@@ -77,11 +77,11 @@
 
 // outgoing returns the request as this attempt sends it.
 func (x *exchange) outgoing(i members.Instance) *upstream.Request {
-	out := x.Out
-	out.Header = maps.Clone(x.Out.Header)
+	out := x.Outbound
+	out.Header = maps.Clone(x.Outbound.Header)
 	x.d.Dialect.WriteAttempt(out.Header, call.Attempt{
 		Upstream:  i.ID,
-		Left:      x.TimeLeft(x.d.Clock.Now()),
+		Timeout:   x.Remaining(x.d.Clock.Now()),
 		Team:      x.Team,
 		Rank:      x.Rank,
 		LastEvent: x.relay.last,
@@ -117,7 +117,7 @@
 	if res.StatusCode >= http.StatusBadRequest {
 		return x.failed(ctx, i, res)
 	}
-	if x.Terms.Kind == settings.RouteStream && res.StatusCode == http.StatusOK {
+	if x.RouteConfig.Kind == settings.RouteStream && res.StatusCode == http.StatusOK {
 		return x.stream(ctx, i, res, watch)
 	}
 	return x.body(ctx, i, res)
@@ -127,7 +127,7 @@
 	// The upstream may also answer so for other reasons than its identity, so the entry stays until the platform
 	// changes it; the request does not go there again.
 	x.d.Log.Warn("misdirected", "request", x.ID, "upstream", i.ID, "address", i.Address, "status", res.StatusCode)
-	x.d.Outliers.Unreachable(x.d.Clock.Now(), i.ID, i.Service)
+	x.d.Outliers.RecordUnreachable(x.d.Clock.Now(), i.ID, i.Service)
 }
 
 // failed keeps a failure that the upstream answered whole, to be passed on if nothing better follows.
@@ -148,7 +148,7 @@
 			return attempt.ClientGone, true
 		}
 		x.relay.headed = true
-		return attempt.Whole, true
+		return attempt.Complete, true
 	}
 	x.d.Log.Info("upstream failure", "request", x.ID, "upstream", i.ID, "status", res.StatusCode)
 	return attempt.Failed, true
@@ -186,10 +186,10 @@
 		if err := whole.send(x.sink); err != nil {
 			return attempt.ClientGone, true
 		}
-		return attempt.Whole, true
+		return attempt.Complete, true
 	}
 	x.relay.headed = true
-	if err := x.sink.Head(res.StatusCode, res.Header, res.ContentLength); err != nil {
+	if err := x.sink.WriteHead(res.StatusCode, res.Header, res.ContentLength); err != nil {
 		return attempt.ClientGone, false
 	}
 	if err := x.sink.Write(body, false); err != nil {
@@ -208,7 +208,7 @@
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			return attempt.Whole, true
+			return attempt.Complete, true
 		}
 		if err != nil {
 			return x.broken(ctx, i, err), false
@@ -225,12 +225,12 @@
 			if err := x.relay.end(res); err != nil {
 				return attempt.ClientGone, true
 			}
-			return attempt.Whole, true
+			return attempt.Complete, true
 		}
 		if err != nil {
 			return x.broken(ctx, i, err), false
 		}
-		x.d.Silence.Heard(x.d.Clock.Now(), i.ID)
+		x.d.Unresponsive.ResponseReceived(x.d.Clock.Now(), i.ID)
 		watch.progress()
 		if err := x.relay.event(res, e, !events.Buffered()); err != nil {
 			var order *orderError
@@ -249,14 +249,14 @@
 }
 
 func (x *exchange) watch(conn *upstream.Conn) *watch {
-	if !x.Terms.Repeatable() || x.res.Runs+1 >= x.Terms.Attempts {
+	if !x.RouteConfig.Repeatable() || x.res.Runs+1 >= x.RouteConfig.Attempts {
 		return &watch{}
 	}
-	slow := max(minSlow, slowFactor*x.Terms.Objective)
-	if x.Terms.Kind == settings.RouteStream {
+	slow := max(minSlow, slowFactor*x.RouteConfig.Objective)
+	if x.RouteConfig.Kind == settings.RouteStream {
 		slow = max(minStall, slow)
 	}
-	w := &watch{pause: max(minStall, stallFactor*x.Terms.PauseObjective)}
+	w := &watch{pause: max(minStall, stallFactor*x.RouteConfig.PauseObjective)}
 	w.timer = time.AfterFunc(slow, conn.Close)
 	return w
 }
--- a/router/internal/direct/place.go
+++ b/router/internal/direct/place.go
@@ -8,7 +8,7 @@
 	"rattantrack.dev/core/clock"
 	"rattantrack.dev/core/members"
 	"rattantrack.dev/core/placement"
-	"rattantrack.dev/core/rank"
+	"rattantrack.dev/core/rendezvous"
 	"rattantrack.dev/core/settings"
 )
 
@@ -43,10 +43,10 @@
 	LongPrefix: 2000,
 	// Reading 300 tokens takes an engine as long as a few steps of a batch with one request more.
 	TokensPerRequest: 300,
-	RankCost:         2,
+	NonPrimaryCost:   2,
 	DistanceCost:     0.25,
 	ColdCost:         3,
-	FailedCost:       12,
+	FailureCost:      12,
 	Overcommit:       1,
 }
 
@@ -55,7 +55,7 @@
 	Multiple: 1.6, Slack: 2,
 	DistanceCost: 0.9,
 	ColdCost:     2,
-	FailedCost:   1000,
+	FailureCost:  1000,
 	// A request that waits at the upstream behind one other for each slot is still on time.
 	Overcommit: 2,
 }
@@ -76,10 +76,10 @@
 		candidates[i].Failed = slices.Contains(t.failed, ids[i])
 	}
 	policy := &plainPolicy
-	if r.Terms.Affinity {
+	if r.RouteConfig.Affinity {
 		policy = &enginePolicy
 	}
-	request := &placement.Request{DataCentre: d.DataCentre, Shared: r.Shared(), Affinity: r.Terms.Affinity}
+	request := &placement.Request{DataCentre: d.DataCentre, SharedTokens: r.SharedTokens(), Affinity: r.RouteConfig.Affinity}
 	choice := placement.Choose(policy, request, candidates)
 	if choice.Reason != placement.Chosen {
 		return members.Instance{}, choice
@@ -88,27 +88,27 @@
 }
 
 func (d *Dispatcher) candidates(now clock.Instant, r *Request, serving []members.Instance, ids []settings.UpstreamID) []placement.Candidate {
-	loads := d.Ledger.Loads(now, ids)
+	loads := d.InFlight.Loads(now, ids)
 	excluded := d.excluded(now, ids)
 	var held []settings.Tokens
 	ranks := make([]int, len(ids))
-	if r.Terms.Affinity {
-		held = d.Affinity.Held(now, r.sharedParts(), ids)
+	if r.RouteConfig.Affinity {
+		held = d.Affinity.CachedTokens(now, r.sharedParts(), ids)
 		ranks = d.ranks(r, ids)
 	}
 	candidates := make([]placement.Candidate, len(serving))
 	for i := range serving {
 		candidates[i] = placement.Candidate{
-			ID:         ids[i],
-			DataCentre: serving[i].DataCentre,
-			Load:       loads[i],
-			Slots:      serving[i].Slots,
-			Rank:       ranks[i],
-			Cold:       serving[i].Cold > 0 && d.Members.Cold(now, ids[i]) > 0,
-			Excluded:   excluded[i],
+			ID:             ids[i],
+			DataCentre:     serving[i].DataCentre,
+			Load:           loads[i],
+			Slots:          serving[i].Slots,
+			RendezvousRank: ranks[i],
+			Cold:           serving[i].ColdRemaining > 0 && d.Members.ColdRemaining(now, ids[i]) > 0,
+			Excluded:       excluded[i],
 		}
 		if held != nil {
-			candidates[i].Held = held[i]
+			candidates[i].CachedTokens = held[i]
 		}
 	}
 	return candidates
@@ -117,7 +117,7 @@
 // excluded reports, for each upstream, whether it should get no requests now: it fails more than others, or it answers
 // nothing. Where that leaves none, only silence counts, which never leaves out more than half of them.
 func (d *Dispatcher) excluded(now clock.Instant, ids []settings.UpstreamID) []bool {
-	silent := d.Silence.Silent(now, ids)
+	silent := d.Unresponsive.Unresponsive(now, ids)
 	excluded := d.Outliers.Ejected(now, ids)
 	for i := range excluded {
 		excluded[i] = excluded[i] || silent[i]
@@ -129,8 +129,8 @@
 }
 
 // sharedParts returns the parts of the prompt that other requests may share.
-func (r *Request) sharedParts() []call.Part {
-	return r.Parts[:max(0, len(r.Parts)-1)]
+func (r *Request) sharedParts() []call.PromptBlock {
+	return r.PromptBlocks[:max(0, len(r.PromptBlocks)-1)]
 }
 
 // ranks returns the place of each upstream in the rendezvous order of the longest shared part: 0 for the first, 1 for
@@ -141,7 +141,7 @@
 	if len(parts) == 0 {
 		return ranks
 	}
-	home, ok := rank.New(ids).Home(uint64(parts[len(parts)-1].ID))
+	home, ok := rendezvous.New(ids).Home(uint64(parts[len(parts)-1].ID))
 	for i, id := range ids {
 		if !ok || id != home {
 			ranks[i] = 1
--- a/router/internal/engines/inventory_test.go
+++ b/router/internal/engines/inventory_test.go
@@ -16,8 +16,8 @@
 	"rattantrack.dev/core/call"
 	"rattantrack.dev/core/clock"
 	"rattantrack.dev/core/members"
-	"rattantrack.dev/core/recovery"
 	"rattantrack.dev/core/settings"
+	"rattantrack.dev/core/warmup"
 )
 
 // fakeAsker counts the questions to each engine.
@@ -27,11 +27,11 @@
 	err   error
 }
 
-func (a *fakeAsker) Held(_ context.Context, i members.Instance) ([]call.Part, error) {
+func (a *fakeAsker) CachedBlocks(_ context.Context, i members.Instance) ([]call.PromptBlock, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.asked[i.ID]++
-	return []call.Part{{ID: 7, Tokens: 100}}, a.err
+	return []call.PromptBlock{{ID: 7, Tokens: 100}}, a.err
 }
 
 // fakeRouters is what one router knows of the others.
@@ -41,19 +41,19 @@
 	asked map[settings.UpstreamID]bool
 }
 
-func (r *fakeRouters) Met() []string                                   { return r.met }
-func (r *fakeRouters) HoldingsLearnt() bool                            { return r.warm }
-func (r *fakeRouters) InventoriedByOthers(id settings.UpstreamID) bool { return r.asked[id] }
+func (r *fakeRouters) Reachable() []string                              { return r.met }
+func (r *fakeRouters) CacheEntriesReceived() bool                       { return r.warm }
+func (r *fakeRouters) CacheQueriedByOthers(id settings.UpstreamID) bool { return r.asked[id] }
 
-func newInventory(address string, asker Asker, routers *fakeRouters) *Inventory {
-	book := &members.Book{}
+func newInventory(address string, asker CacheReader, routers *fakeRouters) *Warmup {
+	book := &members.Registry{}
 	var list []members.Change
 	for _, id := range []settings.UpstreamID{"e1", "e2", "e3", "e4", "e5", "e6"} {
 		list = append(list, members.Change{ID: id, Revision: 1, Instance: members.Instance{ID: id, Service: "letters"}})
 	}
 	book.Replace(1, 1, list)
-	return &Inventory{
-		Address: address, Named: []string{"a", "b", "c"}, Asker: asker, Routers: routers, Members: book, Affinity: &affinity.Directory{}, Clock: clock.Boot{},
+	return &Warmup{
+		Address: address, Seeds: []string{"a", "b", "c"}, Cache: asker, Routers: routers, Members: book, Affinity: &affinity.Index{}, Clock: clock.Boot{},
 		Services: func() []settings.ServiceName { return []settings.ServiceName{"letters"} },
 		Log:      log.New(io.Discard), Scope: tally.NoopScope,
 	}
@@ -61,7 +61,7 @@
 
 // askAll lets a router ask the engines that fall to it at a time after its start, and waits for the answers; it reports
 // whether every engine has been asked.
-func askAll(v *Inventory, elapsed time.Duration) bool {
+func askAll(v *Warmup, elapsed time.Duration) bool {
 	var wg sync.WaitGroup
 	all := v.ask(context.Background(), elapsed, make(chan struct{}, maxAsking), &wg)
 	wg.Wait()
@@ -88,9 +88,9 @@
 	asker := &fakeAsker{asked: make(map[settings.UpstreamID]int)}
 	asked := map[settings.UpstreamID]bool{"e1": true, "e2": true, "e3": true, "e4": true}
 	later := newInventory("a", asker, &fakeRouters{asked: asked})
-	c.Assert(askAll(later, recovery.TakeoverTime), qt.IsFalse)
-	c.Assert(later.Asked(), qt.HasLen, 2)
-	c.Assert(askAll(later, recovery.TakeoverTime), qt.IsTrue)
+	c.Assert(askAll(later, warmup.TakeoverDelay), qt.IsFalse)
+	c.Assert(later.Queried(), qt.HasLen, 2)
+	c.Assert(askAll(later, warmup.TakeoverDelay), qt.IsTrue)
 	c.Assert(asker.asked, qt.HasLen, 2)
 }
 
@@ -99,8 +99,8 @@
 	c := qt.New(t)
 	asker := &fakeAsker{asked: make(map[settings.UpstreamID]int), err: errors.New("down")}
 	v := newInventory("a", asker, &fakeRouters{})
-	askAll(v, recovery.TakeoverTime)
-	c.Assert(askAll(v, recovery.TakeoverTime), qt.IsTrue)
+	askAll(v, warmup.TakeoverDelay)
+	c.Assert(askAll(v, warmup.TakeoverDelay), qt.IsTrue)
 	for id, n := range asker.asked {
 		c.Assert(n, qt.Equals, 1, qt.Commentf("engine %s", id))
 	}
--- a/router/internal/routers/news.go
+++ b/router/internal/routers/news.go
@@ -13,7 +13,7 @@
 // spreadHoldings queues what this router has learnt of cached prompts for every other router.
 func (s *Service) spreadHoldings() {
 	now := s.Clock.Now()
-	news := s.Affinity.News(now)
+	news := s.Affinity.TakeUpdates(now)
 	if len(news) == 0 {
 		return
 	}
@@ -32,7 +32,7 @@
 }
 
 // keep adds news to the backlog and drops what is too old; the caller holds the lock.
-func (s *Service) keep(now clock.Instant, news []affinity.Holding) {
+func (s *Service) keep(now clock.Instant, news []affinity.CacheEntry) {
 	for _, n := range news {
 		s.backlog = append(s.backlog, n)
 		s.stamps = append(s.stamps, now)
@@ -45,8 +45,8 @@
 	s.stamps = slices.Delete(s.stamps, 0, drop)
 }
 
-// Tell queues changes of instances for every other router.
-func (s *Service) Tell(changes []members.Change) {
+// Broadcast queues changes of instances for every other router.
+func (s *Service) Broadcast(changes []members.Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range s.routers {
@@ -61,12 +61,12 @@
 func (s *Service) state(r *router, asking, allHoldings bool) *peer.RouterState {
 	now := s.Clock.Now()
 	state := &peer.RouterState{
-		Router: s.ID, Address: s.Address, Incarnation: s.Incarnation, Cores: s.Cores, Open: s.Ledger.Own(),
-		Signs: s.Silence.Own(now), KnowsHoldings: s.KnowsHoldings(),
+		Router: s.ID, Address: s.Address, Incarnation: s.Incarnation, Cores: s.Cores, Open: s.InFlight.Local(),
+		Responsiveness: s.Unresponsive.Local(now), HasCacheEntries: s.HasCacheEntries(),
 	}
-	state.Inventoried = s.Inventoried()
+	state.CacheQueried = s.CacheQueried()
 	// The age is taken before the changes are, so that it never vouches for changes that are not told.
-	state.DirectoryAge, state.DirectoryFailing = s.Directory()
+	state.DirectoryAge, state.DirectoryFailing = s.DirectoryState()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for address, other := range s.routers {
@@ -75,8 +75,8 @@
 		}
 	}
 	if !r.greeted {
-		state.Listed = s.Members.Known()
-		state.Members = s.Members.Listing()
+		state.MembersComplete = s.Members.Complete()
+		state.Members = s.Members.Snapshot()
 		r.greeted = !asking
 	} else {
 		state.Members = r.members
@@ -88,7 +88,7 @@
 	if allHoldings {
 		holdings = s.Affinity.Recent(now, maxRecent)
 	}
-	state.Holdings = affinity.Pack(holdings)
+	state.CacheEntries = affinity.Pack(holdings)
 	r.members, r.holdings, r.stamps = nil, nil, nil
 	return state
 }
@@ -96,25 +96,25 @@
 // learn takes in another router's state.
 func (s *Service) learn(m *peer.RouterState) {
 	now := s.Clock.Now()
-	s.Ledger.Report(now, m.Router, m.Open)
-	s.Silence.Report(now, m.Router, m.Open, m.Signs)
-	holdings, err := affinity.Unpack(m.Holdings)
+	s.InFlight.Report(now, m.Router, m.Open)
+	s.Unresponsive.Report(now, m.Router, m.Open, m.Responsiveness)
+	holdings, err := affinity.Unpack(m.CacheEntries)
 	if err != nil {
 		s.Log.Warn("cached prompts of a router refused", "router", m.Router, "error", err)
 	}
-	s.Affinity.Learn(now, holdings)
-	events := s.Members.Learn(now, m.Members)
-	if m.Listed && !s.Members.Known() {
-		s.Members.MarkKnown()
+	s.Affinity.Merge(now, holdings)
+	events := s.Members.ApplyRelayed(now, m.Members)
+	if m.MembersComplete && !s.Members.Complete() {
+		s.Members.MarkComplete()
 		s.Log.Info("instances learnt from a router", "router", m.Router, "instances", len(m.Members))
 	}
 	if len(events) > 0 {
 		s.OnEvents(string(m.Router), events)
-		s.Tell(changed(m.Members, events))
+		s.Broadcast(changed(m.Members, events))
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, id := range m.Inventoried {
+	for _, id := range m.CacheQueried {
 		if s.inventoried == nil {
 			s.inventoried = make(map[settings.UpstreamID]bool)
 		}
@@ -122,7 +122,7 @@
 	}
 	from := s.add(m.Address)
 	from.cores = m.Cores
-	from.failing, from.knows = m.DirectoryFailing, m.KnowsHoldings
+	from.failing, from.knows = m.DirectoryFailing, m.HasCacheEntries
 	from.informed = max(from.informed, now.Add(-m.DirectoryAge))
 	for _, address := range m.Routers {
 		if address != s.Address {
--- a/router/internal/routers/service.go
+++ b/router/internal/routers/service.go
@@ -15,7 +15,7 @@
 	"rattantrack.dev/core/members"
 	"rattantrack.dev/core/peer"
 	"rattantrack.dev/core/settings"
-	"rattantrack.dev/core/silence"
+	"rattantrack.dev/core/unresponsive"
 )
 
 // Times and sizes of the exchange.
@@ -52,7 +52,7 @@
 // Dialer gives links to addresses.
 type Dialer interface {
 	Dial(ctx context.Context, address string) (*peer.Link, error)
-	DialFresh(ctx context.Context, address string, old *peer.Link) (*peer.Link, error)
+	Redial(ctx context.Context, address string, old *peer.Link) (*peer.Link, error)
 }
 
 // router is another router with the news that it has not heard yet.
@@ -62,7 +62,7 @@
 	incarnation peer.Incarnation
 	// greeted says that it has got everything once.
 	greeted  bool
-	holdings []affinity.Holding
+	holdings []affinity.CacheEntry
 	stamps   []clock.Instant
 	members  []members.Change
 	// met is the last exchange that succeeded, heard the last message of the other side.
@@ -86,22 +86,22 @@
 	Address     string
 	Incarnation peer.Incarnation
 	// Cores is the processor that the VM gives this router, in cores; 0 where it is not known.
-	Cores    float64
-	Seeds    []string
-	Dialer   Dialer
-	Ledger   *inflight.Ledger
-	Silence  *silence.Detector
-	Affinity *affinity.Directory
-	Members  *members.Book
-	Clock    Clock
-	Log      *log.Logger
-	Scope    tally.Scope
-	// KnowsHoldings reports whether this router knows which prompts are cached where.
-	KnowsHoldings func() bool
-	// Directory returns how long ago this router has read the directory, and whether it cannot.
-	Directory func() (age time.Duration, failing bool)
-	// Inventoried returns the upstreams whose cached prompts this router has just asked for.
-	Inventoried func() []settings.UpstreamID
+	Cores        float64
+	Seeds        []string
+	Dialer       Dialer
+	InFlight     *inflight.Tracker
+	Unresponsive *unresponsive.Detector
+	Affinity     *affinity.Index
+	Members      *members.Registry
+	Clock        Clock
+	Log          *log.Logger
+	Scope        tally.Scope
+	// HasCacheEntries reports whether this router knows which prompts are cached where.
+	HasCacheEntries func() bool
+	// DirectoryState returns how long ago this router has read the directory, and whether it cannot.
+	DirectoryState func() (age time.Duration, failing bool)
+	// CacheQueried returns the upstreams whose cached prompts this router has just asked for.
+	CacheQueried func() []settings.UpstreamID
 	// OnEvents hears of what another router's news changed.
 	OnEvents func(source string, events []members.Event)
 
@@ -110,7 +110,7 @@
 	routers map[string]*router
 	wg      sync.WaitGroup
 	// backlog is the latest news of cached prompts from here, with the times of their use.
-	backlog []affinity.Holding
+	backlog []affinity.CacheEntry
 	stamps  []clock.Instant
 	// learnt says that a router that knows the cached prompts has told them all.
 	learnt bool
@@ -220,7 +220,7 @@
 	ctx, cancel := context.WithTimeout(ctx, answerTime)
 	defer cancel()
 	state := s.state(r, true, false)
-	if state.WantsHoldings = s.beginWanting(r); state.WantsHoldings {
+	if state.WantsCacheEntries = s.beginWanting(r); state.WantsCacheEntries {
 		defer s.endWanting()
 	}
 	answer, err := s.ask(ctx, r.address, state)
@@ -236,14 +236,14 @@
 	s.meet(r, now)
 	s.mu.Unlock()
 	s.learn(answer)
-	if state.WantsHoldings && answer.KnowsHoldings {
+	if state.WantsCacheEntries && answer.HasCacheEntries {
 		s.setLearnt()
 	}
 }
 
 // wants reports whether this router should ask another one for all cached prompts; the caller holds the lock.
 func (s *Service) wants(r *router) bool {
-	return r.knows && !s.wanting && !s.learnt && !s.KnowsHoldings()
+	return r.knows && !s.wanting && !s.learnt && !s.HasCacheEntries()
 }
 
 // beginWanting reports whether an exchange that begins now should ask for all cached prompts.
@@ -315,7 +315,7 @@
 	r.heard = s.Clock.Now()
 	s.mu.Unlock()
 	s.learn(v)
-	if err := st.Send(ctx, s.state(r, false, v.WantsHoldings && s.KnowsHoldings())); err != nil {
+	if err := st.Send(ctx, s.state(r, false, v.WantsCacheEntries && s.HasCacheEntries())); err != nil {
 		s.Log.Debug("answering a router", "router", v.Router, "error", err)
 	}
 	return true
--- a/router/internal/routers/service_test.go
+++ b/router/internal/routers/service_test.go
@@ -20,16 +20,16 @@
 	"rattantrack.dev/core/members"
 	"rattantrack.dev/core/peer"
 	"rattantrack.dev/core/settings"
-	"rattantrack.dev/core/silence"
+	"rattantrack.dev/core/unresponsive"
 )
 
 // node is one router with its listener.
 type node struct {
 	service  *Service
 	endpoint *peer.Endpoint
-	ledger   *inflight.Ledger
-	affinity *affinity.Directory
-	members  *members.Book
+	ledger   *inflight.Tracker
+	affinity *affinity.Index
+	members  *members.Registry
 	stop     func()
 }
 
@@ -51,7 +51,7 @@
 		if seed == "" {
 			seed = address
 		}
-		one := &node{ledger: &inflight.Ledger{}, affinity: &affinity.Directory{}, members: &members.Book{}}
+		one := &node{ledger: &inflight.Tracker{}, affinity: &affinity.Index{}, members: &members.Registry{}}
 		id := fmt.Sprintf("router-%d", i)
 		allow, err := peer.ParseNetworks([]string{"127.0.0.0/8"})
 		c.Assert(err, qt.IsNil)
@@ -62,11 +62,11 @@
 		}
 		one.service = &Service{
 			ID: inflight.RouterID(id), Address: address, Cores: float64(i + 1), Incarnation: peer.Incarnation(id), Seeds: []string{seed},
-			Dialer: one.endpoint, Ledger: one.ledger, Silence: &silence.Detector{}, Affinity: one.affinity, Members: one.members, Clock: clock.Boot{},
-			Log: log.New(io.Discard), Scope: tally.NoopScope, KnowsHoldings: func() bool { return true },
-			Directory:   func() (time.Duration, bool) { return 0, false },
-			Inventoried: func() []settings.UpstreamID { return nil },
-			OnEvents:    func(string, []members.Event) {},
+			Dialer: one.endpoint, InFlight: one.ledger, Unresponsive: &unresponsive.Detector{}, Affinity: one.affinity, Members: one.members, Clock: clock.Boot{},
+			Log: log.New(io.Discard), Scope: tally.NoopScope, HasCacheEntries: func() bool { return true },
+			DirectoryState: func() (time.Duration, bool) { return 0, false },
+			CacheQueried:   func() []settings.UpstreamID { return nil },
+			OnEvents:       func(string, []members.Event) {},
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -122,7 +122,7 @@
 	nodes := startNodes(t, 3)
 	eventually(t, func() bool {
 		cores := 0.0
-		for _, r := range nodes[0].service.Readers() {
+		for _, r := range nodes[0].service.Pollers() {
 			cores += r.Cores
 		}
 		return cores == 2+3
@@ -131,22 +131,22 @@
 
 func TestCachedPromptsAndInstancesAreTold(t *testing.T) {
 	nodes := startNodes(t, 3)
-	parts := []call.Part{{ID: 9, Tokens: 1000}}
-	nodes[1].affinity.Used(clock.Boot{}.Now(), parts, "engine-1")
+	parts := []call.PromptBlock{{ID: 9, Tokens: 1000}}
+	nodes[1].affinity.RecordUse(clock.Boot{}.Now(), parts, "engine-1")
 	change := members.Change{ID: "engine-1", Revision: 7, Instance: members.Instance{ID: "engine-1", Service: "letters"}}
-	nodes[1].members.Learn(clock.Boot{}.Now(), []members.Change{change})
-	nodes[1].service.Tell([]members.Change{change})
+	nodes[1].members.ApplyRelayed(clock.Boot{}.Now(), []members.Change{change})
+	nodes[1].service.Broadcast([]members.Change{change})
 	eventually(t, func() bool {
 		return !slices.ContainsFunc(nodes, func(n *node) bool {
-			held := n.affinity.Held(clock.Boot{}.Now(), parts, []settings.UpstreamID{"engine-1"})
+			held := n.affinity.CachedTokens(clock.Boot{}.Now(), parts, []settings.UpstreamID{"engine-1"})
 			return held[0] != 1000 || len(n.members.Serving("letters")) != 1
 		})
 	})
 }
 
 // told returns the holdings in a state.
-func told(c *qt.C, state *peer.RouterState) []affinity.Holding {
-	list, err := affinity.Unpack(state.Holdings)
+func told(c *qt.C, state *peer.RouterState) []affinity.CacheEntry {
+	list, err := affinity.Unpack(state.CacheEntries)
 	c.Assert(err, qt.IsNil)
 	return list
 }
@@ -157,15 +157,15 @@
 func TestOnlyARouterThatStartsIsToldAllPrompts(t *testing.T) {
 	c := qt.New(t)
 	s := &Service{
-		ID: "a", Address: "127.0.0.1:1", Ledger: &inflight.Ledger{}, Silence: &silence.Detector{}, Affinity: &affinity.Directory{}, Members: &members.Book{},
-		Clock: clock.Boot{}, KnowsHoldings: func() bool { return true }, Directory: func() (time.Duration, bool) { return 0, false },
-		Inventoried: func() []settings.UpstreamID { return nil },
+		ID: "a", Address: "127.0.0.1:1", InFlight: &inflight.Tracker{}, Unresponsive: &unresponsive.Detector{}, Affinity: &affinity.Index{}, Members: &members.Registry{},
+		Clock: clock.Boot{}, HasCacheEntries: func() bool { return true }, DirectoryState: func() (time.Duration, bool) { return 0, false },
+		CacheQueried: func() []settings.UpstreamID { return nil },
 	}
 	now := clock.Boot{}.Now()
 	for i := range 100 {
-		s.Affinity.Used(now, []call.Part{{ID: call.PartID(i), Tokens: 10}}, "engine-1")
+		s.Affinity.RecordUse(now, []call.PromptBlock{{ID: call.PromptBlockID(i), Tokens: 10}}, "engine-1")
 	}
-	s.Affinity.News(now)
+	s.Affinity.TakeUpdates(now)
 	s.mu.Lock()
 	r := s.add("127.0.0.1:2")
 	s.mu.Unlock()
@@ -179,11 +179,11 @@
 func TestRouterThatBecomesKnownLaterHearsTheLatestNews(t *testing.T) {
 	c := qt.New(t)
 	s := &Service{
-		ID: "a", Address: "127.0.0.1:1", Ledger: &inflight.Ledger{}, Silence: &silence.Detector{}, Affinity: &affinity.Directory{}, Members: &members.Book{},
-		Clock: clock.Boot{}, KnowsHoldings: func() bool { return true }, Directory: func() (time.Duration, bool) { return 0, false },
-		Inventoried: func() []settings.UpstreamID { return nil },
+		ID: "a", Address: "127.0.0.1:1", InFlight: &inflight.Tracker{}, Unresponsive: &unresponsive.Detector{}, Affinity: &affinity.Index{}, Members: &members.Registry{},
+		Clock: clock.Boot{}, HasCacheEntries: func() bool { return true }, DirectoryState: func() (time.Duration, bool) { return 0, false },
+		CacheQueried: func() []settings.UpstreamID { return nil },
 	}
-	s.Affinity.Used(clock.Boot{}.Now(), []call.Part{{ID: 9, Tokens: 10}}, "engine-1")
+	s.Affinity.RecordUse(clock.Boot{}.Now(), []call.PromptBlock{{ID: 9, Tokens: 10}}, "engine-1")
 	s.spreadHoldings()
 	s.mu.Lock()
 	r := s.add("127.0.0.1:2")
@@ -196,7 +196,7 @@
 // other router at once.
 func TestOneExchangeAtATimeWantsAllPrompts(t *testing.T) {
 	c := qt.New(t)
-	s := &Service{KnowsHoldings: func() bool { return false }}
+	s := &Service{HasCacheEntries: func() bool { return false }}
 	c.Assert(s.beginWanting(&router{}), qt.IsFalse, qt.Commentf("a router that knows no prompts is not asked"))
 	r := &router{knows: true}
 	c.Assert(s.beginWanting(r), qt.IsTrue)
--- a/router/internal/sides/attempt.go
+++ b/router/internal/sides/attempt.go
@@ -6,8 +6,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"rattantrack.dev/core/candidates"
 	"rattantrack.dev/core/peer"
-	"rattantrack.dev/core/route"
 	"rattantrack.dev/core/settings"
 )
 
@@ -51,7 +51,7 @@
 func (e *orderError) Error() string { return "chunk out of order" }
 
 // attempt submits the call to one side and relays what comes.
-func (d *Dispatcher) attempt(ctx context.Context, c *Call, p *progress, step route.Step) report {
+func (d *Dispatcher) attempt(ctx context.Context, c *Call, p *progress, step candidates.Step) report {
 	address, ok := d.View.Address(step.Side)
 	if !ok {
 		return report{ending: endUnreachable}
@@ -82,31 +82,31 @@
 	return r
 }
 
-func (d *Dispatcher) submission(c *Call, p *progress, step route.Step) *peer.Submit {
+func (d *Dispatcher) submission(c *Call, p *progress, step candidates.Step) *peer.Submit {
 	_, revision := d.View.Fleet()
 	now := d.Clock.Now()
 	return &peer.Submit{
-		Request:      c.ID,
-		Attempt:      p.attempt,
-		Profile:      c.Name,
-		Team:         c.Team,
-		Chat:         c.Chat,
-		Key:          c.Key,
-		Ticket:       c.Ticket,
-		Left:         c.Deadline.Sub(now),
-		Sent:         now,
-		Revision:     revision,
-		Method:       c.Method,
-		Path:         c.Path,
-		Headers:      c.Headers,
-		Body:         c.Body,
-		PromptTokens: c.PromptTokens + settings.Tokens(p.events),
-		Resume:       p.text(),
-		Offset:       p.events,
-		Redirected:   step.Redirected || p.moves > 0,
-		Moves:        p.moves,
-		Last:         step.Last,
-		Holder:       p.holder,
+		Request:       c.ID,
+		Attempt:       p.attempt,
+		Profile:       c.Name,
+		Team:          c.Team,
+		Chat:          c.Chat,
+		Key:           c.Key,
+		Ticket:        c.Ticket,
+		Remaining:     c.Deadline.Sub(now),
+		Sent:          now,
+		Revision:      revision,
+		Method:        c.Method,
+		Path:          c.Path,
+		Headers:       c.Headers,
+		Body:          c.Body,
+		PromptTokens:  c.PromptTokens + settings.Tokens(p.events),
+		Resume:        p.text(),
+		Offset:        p.events,
+		Redirected:    step.Redirected || p.moves > 0,
+		Moves:         p.moves,
+		LastCandidate: step.LastCandidate,
+		CacheOwner:    p.holder,
 	}
 }
 
@@ -149,7 +149,7 @@
 
 // refusedBy tells a refusal from a request that was accepted and moves on before it has started.
 func refusedBy(v *peer.Refuse) report {
-	if v.Code == peer.RefuseElsewhere && len(v.Next) > 0 {
+	if v.Code == peer.RefuseHeldElsewhere && len(v.Next) > 0 {
 		return report{ending: endMoved, moved: v.Next[0]}
 	}
 	return report{ending: endRefused, refuse: v}
@@ -182,18 +182,18 @@
 )
 
 // settle asks the side over a new link whether a lost attempt has started, and forbids its start otherwise.
-func (d *Dispatcher) settle(ctx context.Context, c *Call, p *progress, step route.Step, old *peer.Link, cause error) report {
+func (d *Dispatcher) settle(ctx context.Context, c *Call, p *progress, step candidates.Step, old *peer.Link, cause error) report {
 	address, _ := d.View.Address(step.Side)
 	for range queryTries {
-		l, err := d.Endpoint.DialFresh(ctx, address, old)
+		l, err := d.Endpoint.Redial(ctx, address, old)
 		if err != nil {
 			break
 		}
 		if l.Remote().Incarnation != old.Remote().Incarnation {
 			break
 		}
-		q := &peer.Query{Request: c.ID, Attempt: p.attempt, Left: c.Deadline.Sub(d.Clock.Now())}
-		state, err := peer.Ask[*peer.State](ctx, l, q, queryLimit)
+		q := &peer.AttemptQuery{Request: c.ID, Attempt: p.attempt, Remaining: c.Deadline.Sub(d.Clock.Now())}
+		state, err := peer.Ask[*peer.AttemptState](ctx, l, q, queryLimit)
 		if err != nil {
 			old = l
 			continue
--- a/router/internal/sides/dispatch.go
+++ b/router/internal/sides/dispatch.go
@@ -8,10 +8,10 @@
 	"github.com/charmbracelet/log"
 	"github.com/uber-go/tally/v4"
 
+	"rattantrack.dev/core/candidates"
 	"rattantrack.dev/core/outcome"
 	"rattantrack.dev/core/peer"
 	"rattantrack.dev/core/retry"
-	"rattantrack.dev/core/route"
 	"rattantrack.dev/core/settings"
 	"rattantrack.dev/core/ticket"
 )
@@ -41,7 +41,7 @@
 func (d *Dispatcher) Do(ctx context.Context, c *Call, sink Sink) Result {
 	ctx, cancel := context.WithTimeout(ctx, c.Deadline.Sub(d.Clock.Now())+verdictGrace)
 	defer cancel()
-	d.budget.First()
+	d.budget.RecordFirstAttempt()
 	p := &progress{sink: sink, stream: c.Stream}
 	r := d.dispatch(ctx, c, p)
 	if r.Outcome == peer.OutcomeDone {
@@ -81,13 +81,13 @@
 	}
 }
 
-func (d *Dispatcher) walk(c *Call, hint settings.UpstreamID) route.Walk {
+func (d *Dispatcher) walk(c *Call, hint settings.UpstreamID) candidates.Order {
 	key := c.Chat
 	if key == 0 {
 		// Calls that are no chats return to nothing and are spread.
 		key = rand.Uint64()
 	}
-	return route.New(d.View.Usable(c.Profile.Service), key, hint)
+	return candidates.New(d.View.Usable(c.Profile.Service), key, hint)
 }
 
 // note remembers what a refusal says about the side itself.
@@ -113,7 +113,7 @@
 	if err != nil {
 		return
 	}
-	_ = peer.Tell(ctx, l, &peer.Placed{Chat: c.Chat, Side: served})
+	_ = peer.Notify(ctx, l, &peer.ChatPlaced{Chat: c.Chat, Side: served})
 }
 
 // atHome runs a call that must run at most once at the one side that can vouch for it.
@@ -124,20 +124,20 @@
 		if !ok {
 			return Result{Outcome: peer.OutcomeUnknown, Code: CodeNoUpstream}
 		}
-		r := d.attempt(ctx, c, p, route.Step{Side: home})
+		r := d.attempt(ctx, c, p, candidates.Step{Side: home})
 		switch r.ending {
 		case endDone:
 			return Result{Outcome: peer.OutcomeDone, Side: home, Asks: 1}
 		case endCaller:
 			return callerGone(ctx)
 		case endRefused:
-			if r.refuse.Code != peer.RefuseNotHome || retries >= homeTries {
+			if r.refuse.Code != peer.RefuseNotPrimary || retries >= homeTries {
 				return refusedAtHome(r.refuse)
 			}
 		}
 		// Asking the same side again is safe: it runs a key once and repeats its recorded answer.
 		limit := max(homeTries, c.Profile.Retries)
-		if retries >= limit || !d.budget.Take() {
+		if retries >= limit || !d.budget.Allow() {
 			return Result{Outcome: peer.OutcomeUnknown, Code: CodeUnreachable}
 		}
 		select {
@@ -153,7 +153,7 @@
 // home returns the side that a key or ticket belongs to.
 func (d *Dispatcher) home(c *Call) (settings.UpstreamID, bool) {
 	if c.Ticket != "" {
-		claims, err := ticket.Read(c.Ticket)
+		claims, err := ticket.ParseUnverified(c.Ticket)
 		return claims.Upstream, err == nil
 	}
 	return d.View.Declared(c.Profile.Service).Home(outcome.HashKey(c.Key))
@@ -180,12 +180,12 @@
 	if err != nil {
 		return
 	}
-	_ = peer.Tell(ctx, l, &peer.Leaving{})
+	_ = peer.Notify(ctx, l, &peer.Leaving{})
 }
 
 // Issue gets a ticket from a side of the profile's service.
-func (d *Dispatcher) Issue(ctx context.Context, name settings.ProfileName, p settings.Profile) (*peer.Issued, error) {
-	walk := route.New(d.View.Usable(p.Service), rand.Uint64(), "")
+func (d *Dispatcher) Issue(ctx context.Context, name settings.ProfileName, p settings.Profile) (*peer.TicketIssued, error) {
+	walk := candidates.New(d.View.Usable(p.Service), rand.Uint64(), "")
 	var last error
 	for {
 		step, ok := walk.Next()
@@ -199,7 +199,7 @@
 			last = err
 			continue
 		}
-		issued, err := peer.Ask[*peer.Issued](ctx, l, &peer.Issue{Profile: name}, queryLimit)
+		issued, err := peer.Ask[*peer.TicketIssued](ctx, l, &peer.IssueTicket{Profile: name}, queryLimit)
 		if err == nil {
 			return issued, nil
 		}
--- a/router/internal/sides/search.go
+++ b/router/internal/sides/search.go
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"time"
 
+	"rattantrack.dev/core/candidates"
 	"rattantrack.dev/core/peer"
-	"rattantrack.dev/core/route"
 	"rattantrack.dev/core/settings"
 )
 
@@ -16,7 +16,7 @@
 	d       *Dispatcher
 	c       *Call
 	p       *progress
-	walk    route.Walk
+	walk    candidates.Order
 	retries int
 	// refusal is the latest refusal, and unreachable says that a side could not be reached in this walk.
 	refusal     *peer.Refuse
@@ -24,11 +24,11 @@
 }
 
 // attempted takes in the end of an attempt; it reports the call's result where there is one.
-func (s *search) attempted(ctx context.Context, step route.Step, r report) (Result, bool) {
+func (s *search) attempted(ctx context.Context, step candidates.Step, r report) (Result, bool) {
 	switch r.ending {
 	case endDone:
-		s.d.tellHome(ctx, s.c, s.walk.Home(), step.Side)
-		return Result{Outcome: peer.OutcomeDone, Side: step.Side, Asks: s.walk.Asks()}, true
+		s.d.tellHome(ctx, s.c, s.walk.Primary(), step.Side)
+		return Result{Outcome: peer.OutcomeDone, Side: step.Side, Asks: s.walk.Requests()}, true
 	case endCaller:
 		return callerGone(ctx), true
 	case endRefused:
@@ -53,20 +53,20 @@
 }
 
 // refused follows a side's word where to go instead.
-func (s *search) refused(step route.Step, r *peer.Refuse) {
+func (s *search) refused(step candidates.Step, r *peer.Refuse) {
 	s.refusal = r
-	if r.Holder != "" {
-		s.p.holder = r.Holder
+	if r.CacheOwner != "" {
+		s.p.holder = r.CacheOwner
 	}
 	s.d.note(step.Side, r)
-	s.walk.Refused(r.Next)
+	s.walk.Prepend(r.Next)
 	if r.Code == peer.RefuseOverloaded {
-		s.walk.Loaded(step.Side, settings.Tokens(r.Load))
+		s.walk.RecordOverloaded(step.Side, settings.Tokens(r.Load))
 	}
 }
 
 // moved goes on at the side to which the answer moves; the old side still holds the prefix.
-func (s *search) moved(step route.Step, r report) {
+func (s *search) moved(step candidates.Step, r report) {
 	s.p.started = s.p.started || r.started
 	s.p.holder = step.Side
 	s.p.moves++
@@ -75,7 +75,7 @@
 }
 
 // again begins a new walk without the side that has failed the call, if the call may be repeated.
-func (s *search) again(ctx context.Context, step route.Step) (Result, bool) {
+func (s *search) again(ctx context.Context, step candidates.Step) (Result, bool) {
 	if code, ok := s.mayRetry(ctx); !ok {
 		return s.given(code), true
 	}
@@ -112,7 +112,7 @@
 	if s.retries >= max(1, s.c.Profile.Retries) {
 		return CodeUnreachable, false
 	}
-	if !s.d.budget.Take() {
+	if !s.d.budget.Allow() {
 		return CodeBudget, false
 	}
 	pause := rand.N(min(maxPause, firstPause<<s.retries))
@@ -128,7 +128,7 @@
 
 // given is the result of a call that is given up: it was not run only if no attempt has started.
 func (s *search) given(code string) Result {
-	r := Result{Outcome: peer.OutcomeNotRun, Code: code, Asks: s.walk.Asks()}
+	r := Result{Outcome: peer.OutcomeNotRun, Code: code, Asks: s.walk.Requests()}
 	if s.p.started || s.p.written {
 		r.Outcome = peer.OutcomeUnknown
 		if code == CodeUnreachable {
@@ -153,7 +153,7 @@
 
 // passing reports whether a refusal speaks of one side that goes away, so that asking anew soon can help.
 func passing(r *peer.Refuse) bool {
-	return r != nil && (r.Code == peer.RefuseLeaving || r.Code == peer.RefuseUpstream || r.Code == peer.RefuseNever)
+	return r != nil && (r.Code == peer.RefuseLeaving || r.Code == peer.RefuseUpstream || r.Code == peer.RefuseCancelled)
 }
 
 // callerGone is the result of a call whose caller left or whose deadline passed while it ran.
--- a/side/internal/app/app.go
+++ b/side/internal/app/app.go
@@ -9,12 +9,12 @@
 	"github.com/google/uuid"
 
 	"rattantrack.dev/core/clock"
+	"rattantrack.dev/core/gossip"
 	"rattantrack.dev/core/kernel"
 	"rattantrack.dev/core/operator"
 	"rattantrack.dev/core/peer"
 	"rattantrack.dev/core/revision"
 	"rattantrack.dev/core/settings"
-	"rattantrack.dev/core/spread"
 	"rattantrack.dev/core/ticket"
 	"rattantrack.dev/side/internal/router"
 	"rattantrack.dev/side/internal/sides"
@@ -31,9 +31,9 @@
 	metrics  *operator.Metrics
 	store    *revision.Store
 	endpoint *peer.Endpoint
-	door     *router.Door
+	door     *router.Server
 	sides    *sides.Service
-	spread   *spread.Service
+	spread   *gossip.Service
 	client   *upstream.Client
 	started  atomic.Bool
 }
@@ -55,7 +55,7 @@
 	}
 	s := &Side{cfg: cfg, log: l, metrics: operator.NewMetrics("side"), store: &revision.Store{}}
 	s.client = upstream.New(cfg.URL)
-	s.door = &router.Door{
+	s.door = &router.Server{
 		Self:     cfg.Upstream,
 		Clock:    clock.Boot{},
 		Upstream: s.client,
@@ -71,10 +71,10 @@
 		Identity: identity,
 		OnReject: func(err error) { l.Warn("peer turned away", "error", err) },
 	}
-	prefixes := sides.NewPrefixes(s.endpoint, s.client)
+	prefixes := sides.NewPrefixTransfer(s.endpoint, s.client)
 	s.door.Prefixes = prefixes
-	s.sides = &sides.Service{Door: s.door, Dialer: s.endpoint, Prefixes: prefixes}
-	s.spread = &spread.Service{Store: s.store, Dialer: s.endpoint, Log: l, Candidates: s.candidates}
+	s.sides = &sides.Service{Admission: s.door, Dialer: s.endpoint, Prefixes: prefixes}
+	s.spread = &gossip.Service{Store: s.store, Dialer: s.endpoint, Log: l, Candidates: s.candidates}
 	return s, nil
 }
 
@@ -95,7 +95,7 @@
 func (s *Side) candidates() []string {
 	_, fleet := s.store.Current()
 	var list []string
-	for _, address := range append(spread.SideAddresses(fleet), s.cfg.Peers...) {
+	for _, address := range append(gossip.SideAddresses(fleet), s.cfg.Peers...) {
 		if address != s.cfg.Peer {
 			list = append(list, address)
 		}
@@ -115,7 +115,7 @@
 func (s *Side) Run(ctx context.Context) error {
 	defer func() { _ = s.metrics.Close() }()
 	defer s.client.Close()
-	s.store.Watch(s.door.Declare)
+	s.store.Watch(s.door.ApplyDeclarations)
 	k := &kernel.Kernel{}
 	k.Add(
 		&operator.Server{
@@ -124,7 +124,7 @@
 			Ready:   s.ready,
 			Dumpers: []operator.Dumper{s.door, s.spread, &operator.Links{Endpoint: s.endpoint}},
 		},
-		&peer.Listener{Address: s.cfg.Peer, Endpoint: s.endpoint, IdleTime: idleLinkTime},
+		&peer.Listener{Address: s.cfg.Peer, Endpoint: s.endpoint, IdleTimeout: idleLinkTime},
 		s.spread,
 		s.sides,
 		&drain{side: s},
@@ -161,14 +161,14 @@
 	notice, cancelNotice := context.WithTimeout(context.Background(), leavingTime)
 	defer cancelNotice()
 	for _, l := range d.side.endpoint.Links() {
-		_ = peer.Tell(notice, l, &peer.Leaving{})
+		_ = peer.Notify(notice, l, &peer.Leaving{})
 	}
 	work, cancelWork := context.WithTimeout(context.Background(), d.side.cfg.DrainTime)
 	defer cancelWork()
 	d.side.door.Drain(work)
 	last, cancelLast := context.WithTimeout(context.Background(), leavingTime)
 	defer cancelLast()
-	d.side.sides.Bequeath(last)
+	d.side.sides.HandOver(last)
 	// What routers sent before they had the notice is refused, and the refusal must reach them.
 	time.Sleep(time.Until(noticed.Add(lingerTime)))
 	d.side.log.Info("side drained")
--- a/side/internal/router/door.go
+++ b/side/internal/router/door.go
@@ -8,15 +8,15 @@
 	"github.com/charmbracelet/log"
 	"github.com/uber-go/tally/v4"
 
-	"rattantrack.dev/core/admit"
+	"rattantrack.dev/core/admission"
 	"rattantrack.dev/core/clock"
-	"rattantrack.dev/core/mean"
+	"rattantrack.dev/core/fairqueue"
+	"rattantrack.dev/core/meanload"
 	"rattantrack.dev/core/outcome"
 	"rattantrack.dev/core/peer"
-	"rattantrack.dev/core/rank"
+	"rattantrack.dev/core/rendezvous"
 	"rattantrack.dev/core/revision"
 	"rattantrack.dev/core/settings"
-	"rattantrack.dev/core/share"
 	"rattantrack.dev/core/ticket"
 	"rattantrack.dev/side/internal/upstream"
 )
@@ -39,8 +39,8 @@
 	Fetch(ctx context.Context, address string, chat uint64) (settings.Tokens, error)
 }
 
-// Door is the one way to an upstream: every request for it passes here.
-type Door struct {
+// Server is the one way to an upstream: every request for it passes here.
+type Server struct {
 	Self     settings.UpstreamID
 	Clock    Clock
 	Upstream Runner
@@ -52,19 +52,19 @@
 	Prefixes Fetcher
 
 	mu       sync.Mutex
-	fleet    *settings.Fleet
+	fleet    *settings.Declarations
 	service  settings.Service
 	name     settings.ServiceName
 	revision settings.Revision
-	set      *rank.Set
+	set      *rendezvous.Set
 	siblings []string
 	// former holds the addresses of sides that are no longer declared.
 	former    map[settings.UpstreamID]string
-	admission admit.Controller
-	scheduler share.Scheduler
+	admission admission.Controller
+	scheduler fairqueue.Scheduler
 	attempts  outcome.Attempts
 	keys      outcome.Keys
-	homes     outcome.Homes
+	homes     outcome.Primaries
 	answers   map[settings.ProfileName]settings.Tokens
 	jobs      map[*job]struct{}
 	leaving   bool
@@ -76,8 +76,8 @@
 	shedWake    chan struct{}
 }
 
-// Declare puts an accepted version of the declarations in force.
-func (d *Door) Declare(c revision.Change) {
+// ApplyDeclarations puts an accepted version of the declarations in force.
+func (d *Server) ApplyDeclarations(c revision.Change) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	before := d.fleet
@@ -100,24 +100,24 @@
 	d.homes.Self = d.Self
 	d.homes.Started = d.Started
 	d.homes.Lifetime = d.service.KeyLifetime
-	d.homes.Change(d.Clock.Now(), d.homesChange(before, c))
+	d.homes.Apply(d.Clock.Now(), d.homesChange(before, c))
 	d.startNext()
 }
 
 // PolicyOf derives the load policy of a service from its declaration.
-func PolicyOf(s settings.Service) admit.Policy {
+func PolicyOf(s settings.Service) admission.Policy {
 	// One engine decodes MaxRunning streams while it could prefill PrefillRate tokens.
 	weight := float64(s.DecodeRate) * float64(s.MaxRunning) / float64(s.PrefillRate)
-	return admit.Policy{Multiple: s.Multiple, PrefillWeight: weight, Import: s.KVTransfer}
+	return admission.Policy{Multiple: s.Multiple, PrefillWeight: weight, CanImport: s.KVTransfer}
 }
 
 // homesChange tells the homes what changed of this service's declared upstreams.
-func (d *Door) homesChange(before *settings.Fleet, c revision.Change) outcome.Change {
+func (d *Server) homesChange(before *settings.Declarations, c revision.Change) outcome.Change {
 	change := outcome.Change{
 		Revision:  c.Version.Revision,
 		Set:       d.set,
 		Destroyed: c.Fleet.DestroyedOf(d.name),
-		Exact:     c.Exact,
+		Exact:     c.Consecutive,
 	}
 	for _, doc := range c.Documents {
 		id, ok := settings.UpstreamOf(doc.Key)
@@ -126,16 +126,16 @@
 		}
 		switch d.serviceOf(id, before, c.Fleet) {
 		case d.name:
-			change.Touched = append(change.Touched, id)
+			change.Affected = append(change.Affected, id)
 		case "":
-			change.Blind = true
+			change.UnknownService = true
 		}
 	}
 	return change
 }
 
 // serviceOf returns the service that an upstream belongs or belonged to, or "" when that is not known.
-func (d *Door) serviceOf(id settings.UpstreamID, before, now *settings.Fleet) settings.ServiceName {
+func (d *Server) serviceOf(id settings.UpstreamID, before, now *settings.Declarations) settings.ServiceName {
 	if u, ok := now.Upstreams[id]; ok && u.Service == d.name {
 		return d.name
 	}
@@ -147,8 +147,8 @@
 	return now.Upstreams[id].Service
 }
 
-// Exchange merges another side's sample into the estimate and returns the sample from here.
-func (d *Door) Exchange(other *mean.Sample) mean.Sample {
+// ExchangeSample merges another side's sample into the estimate and returns the sample from here.
+func (d *Server) ExchangeSample(other *meanload.Sample) meanload.Sample {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock.Now()
@@ -160,8 +160,8 @@
 	return mine
 }
 
-// Merge takes in the answer to an exchange that was begun here.
-func (d *Door) Merge(other mean.Sample) {
+// MergeSample takes in the answer to an exchange that was begun here.
+func (d *Server) MergeSample(other meanload.Sample) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.admission.Estimator.Merge(d.Clock.Now(), d.admission.Load(), other)
@@ -169,7 +169,7 @@
 
 // Siblings returns the addresses of the other declared sides of the same service, and the service; callers must not
 // change the list.
-func (d *Door) Siblings() (settings.ServiceName, []string) {
+func (d *Server) Siblings() (settings.ServiceName, []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.name, d.siblings
@@ -179,7 +179,7 @@
 const maxFormer = 256
 
 // rememberFormer keeps the addresses of sides that a change takes out of the declarations; the caller holds the lock.
-func (d *Door) rememberFormer(before, now *settings.Fleet) {
+func (d *Server) rememberFormer(before, now *settings.Declarations) {
 	if before == nil {
 		return
 	}
@@ -194,8 +194,8 @@
 }
 
 // setUpstreams takes in the declared upstreams of the service; the caller holds the lock.
-func (d *Door) setUpstreams(f *settings.Fleet) {
-	d.set = rank.New(f.UpstreamsOf(d.name))
+func (d *Server) setUpstreams(f *settings.Declarations) {
+	d.set = rendezvous.New(f.UpstreamsOf(d.name))
 	d.siblings = make([]string, 0, d.set.Len())
 	for _, id := range d.set.IDs() {
 		if id != d.Self {
@@ -205,40 +205,40 @@
 }
 
 // Forget drops what is known of a side that is leaving.
-func (d *Door) Forget(side settings.UpstreamID) {
+func (d *Server) Forget(side settings.UpstreamID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.admission.Estimator.Forget(side)
 }
 
 // Leave refuses new work from now on.
-func (d *Door) Leave() {
+func (d *Server) Leave() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.leaving = true
 }
 
 // Leaving reports whether new work is refused.
-func (d *Door) Leaving() bool {
+func (d *Server) Leaving() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.isLeaving(d.Clock.Now())
 }
 
 // isLeaving reports whether new work is refused; the caller holds the lock.
-func (d *Door) isLeaving(now clock.Instant) bool {
+func (d *Server) isLeaving(now clock.Instant) bool {
 	return d.leaving || now.Before(d.listedUntil)
 }
 
-// Listed notes a router's word that the VM list shows this VM leaving; it holds until it is no longer renewed.
-func (d *Door) Listed() {
+// ListedLeaving notes a router's word that the VM list shows this VM leaving; it holds until it is no longer renewed.
+func (d *Server) ListedLeaving() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.listedUntil = d.Clock.Now().Add(peer.LeavingLease)
 }
 
 // Drain waits until all work has ended, and cuts what has not when ctx ends.
-func (d *Door) Drain(ctx context.Context) {
+func (d *Server) Drain(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		d.work.Wait()
@@ -258,7 +258,7 @@
 }
 
 // startNext gives free slots to waiting jobs; the caller holds the lock.
-func (d *Door) startNext() {
+func (d *Server) startNext() {
 	for {
 		it := d.scheduler.Pop(d.Clock.Now())
 		if it == nil {
@@ -269,7 +269,7 @@
 }
 
 // decodeGuess returns the expected length of an answer; the caller holds the lock.
-func (d *Door) decodeGuess(name settings.ProfileName, p settings.Profile) settings.Tokens {
+func (d *Server) decodeGuess(name settings.ProfileName, p settings.Profile) settings.Tokens {
 	if learned, ok := d.answers[name]; ok {
 		return learned
 	}
@@ -277,7 +277,7 @@
 }
 
 // learn takes the length of an answer into the profile's mean; the caller holds the lock.
-func (d *Door) learn(name settings.ProfileName, p settings.Profile, answer settings.Tokens) {
+func (d *Server) learn(name settings.ProfileName, p settings.Profile, answer settings.Tokens) {
 	if d.answers == nil {
 		d.answers = make(map[settings.ProfileName]settings.Tokens)
 	}
@@ -286,6 +286,6 @@
 }
 
 // retryAfter tells a refused caller when to come back, from the present queue; the caller holds the lock.
-func (d *Door) retryAfter() time.Duration {
+func (d *Server) retryAfter() time.Duration {
 	return max(time.Second, d.scheduler.Wait())
 }
--- a/side/internal/router/handover.go
+++ b/side/internal/router/handover.go
@@ -27,14 +27,14 @@
 	at       clock.Instant
 }
 
-// Question is a claim and the address of the side to ask.
-type Question struct {
+// PendingClaim is a claim and the address of the side to ask.
+type PendingClaim struct {
 	Claim   *peer.Claim
 	Address string
 }
 
-// Claims returns the questions whose answers are missing.
-func (d *Door) Claims() []Question {
+// PendingClaims returns the questions whose answers are missing.
+func (d *Server) PendingClaims() []PendingClaim {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.fleet == nil || d.service.Kind != settings.KindPlain {
@@ -42,21 +42,21 @@
 	}
 	now := d.Clock.Now()
 	fresh := now.Sub(d.Started) < freshTime
-	var list []Question
-	for _, w := range d.homes.Waiting(now) {
+	var list []PendingClaim
+	for _, w := range d.homes.MissingAcks(now) {
 		address, ok := d.lastAddress(w.From)
 		if !ok {
 			continue
 		}
-		claim := &peer.Claim{From: d.Self, Service: d.name, Ended: w.Ended, Fresh: fresh}
-		list = append(list, Question{Claim: claim, Address: address})
+		claim := &peer.Claim{From: d.Self, Service: d.name, Ended: w.Ended, Restarted: fresh}
+		list = append(list, PendingClaim{Claim: claim, Address: address})
 	}
 	return list
 }
 
 // lastAddress returns where a side was last declared to be; the caller holds the lock. A side that was taken out of the
 // declarations must still be asked.
-func (d *Door) lastAddress(id settings.UpstreamID) (string, bool) {
+func (d *Server) lastAddress(id settings.UpstreamID) (string, bool) {
 	if u, ok := d.fleet.Upstreams[id]; ok {
 		return u.Side, !u.Destroyed
 	}
@@ -64,16 +64,16 @@
 	return address, ok
 }
 
-// Claimed takes in another side's answer to a claim.
-func (d *Door) Claimed(h *peer.Handover) {
+// ApplyHandover takes in another side's answer to a claim.
+func (d *Server) ApplyHandover(h *peer.Handover) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock.Now()
 	for _, r := range h.Records {
-		d.keys.Adopt(now, r)
+		d.keys.Import(now, r)
 	}
 	if !h.Complete {
-		d.homes.Released(now, h.From, h.Ended, h.Revision, h.Covered)
+		d.homes.AddReleaseAck(now, h.From, h.Ended, h.Revision, h.Covered)
 		return
 	}
 	// Nobody between the predecessor and this process can have run a key: that takes a handover, and this is
@@ -83,8 +83,8 @@
 	}
 }
 
-// Answer hands over the records that a claiming side is now home of; it is nil while that cannot be done yet.
-func (d *Door) Answer(c *peer.Claim) []*peer.Handover {
+// AnswerClaim hands over the records that a claiming side is now home of; it is nil while that cannot be done yet.
+func (d *Server) AnswerClaim(c *peer.Claim) []*peer.Handover {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if c.Service != d.name || d.revision < c.Ended {
@@ -106,7 +106,7 @@
 		Covered:  d.homes.CoveredBefore(now, c.Ended),
 		Records:  records,
 	}}
-	if kept, ok := d.handovers[c.From]; ok && c.Fresh {
+	if kept, ok := d.handovers[c.From]; ok && c.Restarted {
 		delete(d.handovers, c.From)
 		kept.handover.Age = now.Sub(kept.at)
 		answers = append(answers, kept.handover)
@@ -115,16 +115,16 @@
 }
 
 // belongsTo reports whether a caller's key has the given home; the caller holds the lock.
-func (d *Door) belongsTo(key string, side settings.UpstreamID) bool {
+func (d *Server) belongsTo(key string, side settings.UpstreamID) bool {
 	if strings.Contains(key, ticketMark) {
 		return false
 	}
-	home, ok := d.homes.Home(key)
+	home, ok := d.homes.Primary(key)
 	return ok && home == side
 }
 
 // Handover returns what to leave with another side when this one has stopped all work.
-func (d *Door) Handover() *peer.Handover {
+func (d *Server) Handover() *peer.Handover {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.service.Kind != settings.KindPlain {
@@ -141,8 +141,8 @@
 	}
 }
 
-// Keep holds another side's handover until its successor claims it.
-func (d *Door) Keep(h *peer.Handover) {
+// KeepHandover holds another side's handover until its successor claims it.
+func (d *Server) KeepHandover(h *peer.Handover) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !h.Complete || h.Service != d.name || len(d.handovers) >= maxHandovers {
--- a/side/internal/router/run.go
+++ b/side/internal/router/run.go
@@ -13,16 +13,16 @@
 )
 
 // run hands a job to the upstream and passes the answer on.
-func (d *Door) run(ctx context.Context, st *peer.Stream, j *job) {
+func (d *Server) run(ctx context.Context, st *peer.Stream, j *job) {
 	call, err := d.call(j)
 	if err != nil || !d.handOver(j) {
 		d.abandon(j)
-		_ = st.Send(ctx, j.refusal(peer.RefuseNever))
+		_ = st.Send(ctx, j.refusal(peer.RefuseCancelled))
 		return
 	}
 	sink := &jobSink{door: d, job: j, ctx: ctx, stream: st}
 	usage, err := d.Upstream.Run(j.ctx, call, sink)
-	var unsent *upstream.NotHandedOverError
+	var unsent *upstream.NotSentError
 	if errors.As(err, &unsent) {
 		d.abandon(j)
 		d.Log.Warn("upstream unreachable", "request", j.submit.Request, "error", err)
@@ -49,7 +49,7 @@
 }
 
 // call builds the upstream request of a job.
-func (d *Door) call(j *job) (upstream.Call, error) {
+func (d *Server) call(j *job) (upstream.Call, error) {
 	d.mu.Lock()
 	service := d.service
 	d.mu.Unlock()
@@ -69,7 +69,7 @@
 }
 
 // handOver makes the last checks before the first byte goes to the upstream, in one step with noting the start.
-func (d *Door) handOver(j *job) bool {
+func (d *Server) handOver(j *job) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock.Now()
@@ -84,7 +84,7 @@
 }
 
 // finish records the result of a run.
-func (d *Door) finish(j *job, usage upstream.Usage, err error) {
+func (d *Server) finish(j *job, usage upstream.Usage, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Clock.Now()
@@ -96,24 +96,24 @@
 		return
 	}
 	if err != nil {
-		d.keys.Lose(now, j.record, d.service.KeyLifetime)
+		d.keys.MarkLost(now, j.record, d.service.KeyLifetime)
 		return
 	}
 	d.keys.Finish(now, j.record, j.answer, d.service.KeyLifetime)
 }
 
 // remember notes which prefix the engine holds now; the caller holds the lock.
-func (d *Door) remember(j *job, usage upstream.Usage) {
+func (d *Server) remember(j *job, usage upstream.Usage) {
 	if j.submit.Chat == 0 {
 		return
 	}
-	d.admission.Prefixes.Stored(j.submit.Chat, usage.Prompt+usage.Answer)
+	d.admission.Prefixes.RecordStored(j.submit.Chat, usage.Prompt+usage.Answer)
 	if home, ok := d.set.Home(j.submit.Chat); ok && home == d.Self {
-		d.admission.Directory.Served(j.submit.Chat, d.Self)
+		d.admission.CacheOwners.RecordServed(j.submit.Chat, d.Self)
 	}
 }
 
-func (d *Door) end(j *job, err error) *peer.End {
+func (d *Server) end(j *job, err error) *peer.End {
 	end := &peer.End{Attempt: j.submit.Attempt, Outcome: peer.OutcomeDone, Chunks: j.chunks.Load()}
 	if err == nil {
 		return end
@@ -126,7 +126,7 @@
 }
 
 // repeat answers a submission whose key has run or is running already.
-func (d *Door) repeat(ctx context.Context, st *peer.Stream, j *job, step outcome.Step) {
+func (d *Server) repeat(ctx context.Context, st *peer.Stream, j *job, step outcome.Step) {
 	switch step {
 	case outcome.StepBodyDiffers:
 		_ = st.Send(ctx, &peer.Refuse{Code: peer.RefuseKeyReused, KeyNotRun: true})
@@ -142,7 +142,7 @@
 	answer := j.record.Answer
 	d.mu.Unlock()
 	if state != outcome.StateDone {
-		_ = st.Send(ctx, &peer.Refuse{Code: peer.RefuseUnknownRun})
+		_ = st.Send(ctx, &peer.Refuse{Code: peer.RefuseResultLost})
 		return
 	}
 	_ = st.Send(ctx, &peer.Accept{Replayed: true})
@@ -151,7 +151,7 @@
 
 // jobSink passes a job's answer to the router and keeps what may be asked for again.
 type jobSink struct {
-	door   *Door
+	door   *Server
 	job    *job
 	ctx    context.Context
 	stream *peer.Stream
@@ -194,7 +194,7 @@
 	defer s.door.mu.Unlock()
 	s.door.admission.FirstToken(&s.job.verdict)
 	if m := s.job.submit; m.Chat != 0 {
-		s.door.admission.Prefixes.Stored(m.Chat, m.PromptTokens)
+		s.door.admission.Prefixes.RecordStored(m.Chat, m.PromptTokens)
 	}
 }
 
--- a/side/internal/router/shed.go
+++ b/side/internal/router/shed.go
@@ -1,19 +1,19 @@
 package router
 
 import (
-	"rattantrack.dev/core/admit"
+	"rattantrack.dev/core/admission"
 	"rattantrack.dev/core/settings"
 )
 
-// ShedWanted tells when the load has just grown, so that the side may have to move work away.
-func (d *Door) ShedWanted() <-chan struct{} {
+// MoveWanted tells when the load has just grown, so that the side may have to move work away.
+func (d *Server) MoveWanted() <-chan struct{} {
 	d.shedOnce.Do(func() { d.shedWake = make(chan struct{}, 1) })
 	return d.shedWake
 }
 
 // wakeShed asks for a look at the load; the caller holds the lock.
-func (d *Door) wakeShed() {
-	if d.admission.Excess(d.Clock.Now()) <= 0 {
+func (d *Server) wakeShed() {
+	if d.admission.ExcessLoad(d.Clock.Now()) <= 0 {
 		return
 	}
 	select {
@@ -22,8 +22,8 @@
 	}
 }
 
-// ShedTarget returns the side to which work should move and its address, if there is too much here.
-func (d *Door) ShedTarget() (settings.UpstreamID, string, bool) {
+// MoveTarget returns the side to which work should move and its address, if there is too much here.
+func (d *Server) MoveTarget() (settings.UpstreamID, string, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	m, ok := d.move()
@@ -35,15 +35,15 @@
 }
 
 // move returns what the admission controller wants moved; the caller holds the lock.
-func (d *Door) move() (admit.Move, bool) {
+func (d *Server) move() (admission.Move, bool) {
 	if d.service.Kind != settings.KindModel || d.isLeaving(d.Clock.Now()) {
-		return admit.Move{}, false
+		return admission.Move{}, false
 	}
-	return d.admission.Shed(d.Clock.Now())
+	return d.admission.NextMove(d.Clock.Now())
 }
 
-// Shed moves one request to a side whose load was just asked for; it reports whether it did.
-func (d *Door) Shed(to settings.UpstreamID) bool {
+// MoveRequest moves one request to a side whose load was just asked for; it reports whether it did.
+func (d *Server) MoveRequest(to settings.UpstreamID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	m, ok := d.move()
@@ -52,10 +52,10 @@
 	}
 	j := d.movable(m)
 	if j == nil {
-		d.admission.Moved(m.To, m.Charge)
+		d.admission.RecordMove(m.To, m.Charge)
 		return false
 	}
-	d.admission.Moved(m.To, j.verdict.Charge)
+	d.admission.RecordMove(m.To, j.verdict.Charge)
 	j.moveTo = m.To
 	j.cut()
 	d.Scope.Counter("moved").Inc(1)
@@ -67,10 +67,10 @@
 
 // movable returns the request whose charge is nearest to the wanted one, one that waits before one whose answer has begun;
 // the caller holds the lock.
-func (d *Door) movable(m admit.Move) *job {
+func (d *Server) movable(m admission.Move) *job {
 	var best *job
 	for j := range d.jobs {
-		if j.stopped || !j.profile.Idempotent || j.submit.Moves >= maxMoves || j.verdict.Charge > m.Most {
+		if j.stopped || !j.profile.Idempotent || j.submit.Moves >= maxMoves || j.verdict.Charge > m.MaxCharge {
 			continue
 		}
 		if j.item.Started() && j.chunks.Load() == 0 {
@@ -85,7 +85,7 @@
 }
 
 // better reports whether a is a better request to move than b.
-func better(a, b *job, m admit.Move) bool {
+func better(a, b *job, m admission.Move) bool {
 	if a.item.Started() != b.item.Started() {
 		return !a.item.Started()
 	}
--- a/side/internal/sides/service.go
+++ b/side/internal/sides/service.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"rattantrack.dev/core/mean"
+	"rattantrack.dev/core/meanload"
 	"rattantrack.dev/core/overlay"
 	"rattantrack.dev/core/peer"
 	"rattantrack.dev/core/settings"
@@ -21,20 +21,20 @@
 	neighbours = 16
 )
 
-// Door is what the exchanges tell and ask.
-type Door interface {
-	Exchange(other *mean.Sample) mean.Sample
-	Merge(other mean.Sample)
-	ShedWanted() <-chan struct{}
-	ShedTarget() (settings.UpstreamID, string, bool)
-	Shed(to settings.UpstreamID) bool
+// Admission is what the exchanges tell and ask.
+type Admission interface {
+	ExchangeSample(other *meanload.Sample) meanload.Sample
+	MergeSample(other meanload.Sample)
+	MoveWanted() <-chan struct{}
+	MoveTarget() (settings.UpstreamID, string, bool)
+	MoveRequest(to settings.UpstreamID) bool
 	Siblings() (settings.ServiceName, []string)
 	Forget(side settings.UpstreamID)
-	Listed()
-	Claims() []router.Question
-	Claimed(h *peer.Handover)
-	Answer(c *peer.Claim) []*peer.Handover
-	Keep(h *peer.Handover)
+	ListedLeaving()
+	PendingClaims() []router.PendingClaim
+	ApplyHandover(h *peer.Handover)
+	AnswerClaim(c *peer.Claim) []*peer.Handover
+	KeepHandover(h *peer.Handover)
 	Handover() *peer.Handover
 }
 
@@ -45,11 +45,11 @@
 
 // Service exchanges loads with other sides in rounds and claims the records of keys that have moved here.
 type Service struct {
-	Door     Door
-	Dialer   Dialer
-	Prefixes *Prefixes
+	Admission Admission
+	Dialer    Dialer
+	Prefixes  *PrefixTransfer
 
-	others overlay.Neighbours
+	others overlay.PeerSet
 }
 
 // String returns the service's name.
@@ -72,7 +72,7 @@
 		s.shedWhenWanted(ctx)
 	}()
 	shuffled := time.Now()
-	every(ctx, mean.Round, func() {
+	every(ctx, meanload.ExchangeInterval, func() {
 		if time.Since(shuffled) > reshuffle {
 			s.others.Rotate()
 			shuffled = time.Now()
@@ -89,7 +89,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.Door.ShedWanted():
+		case <-s.Admission.MoveWanted():
 			s.shed(ctx)
 		}
 	}
@@ -102,15 +102,15 @@
 // rests on an old report.
 func (s *Service) shed(ctx context.Context) {
 	for range maxShedSteps {
-		to, address, ok := s.Door.ShedTarget()
+		to, address, ok := s.Admission.MoveTarget()
 		if !ok {
 			return
 		}
 		if err := s.exchangeWith(ctx, address); err != nil {
-			s.Door.Forget(to)
+			s.Admission.Forget(to)
 			continue
 		}
-		s.Door.Shed(to)
+		s.Admission.MoveRequest(to)
 	}
 }
 
@@ -129,7 +129,7 @@
 
 // exchange swaps samples with one neighbour.
 func (s *Service) exchange(ctx context.Context) {
-	_, addresses := s.Door.Siblings()
+	_, addresses := s.Admission.Siblings()
 	address, ok := s.others.Pick(addresses)
 	if !ok {
 		return
@@ -147,29 +147,29 @@
 	if err != nil {
 		return err
 	}
-	name, _ := s.Door.Siblings()
-	answer, err := peer.Ask[*peer.Exchange](ctx, l, message(name, s.Door.Exchange(nil)), askLimit)
+	name, _ := s.Admission.Siblings()
+	answer, err := peer.Ask[*peer.LoadExchange](ctx, l, message(name, s.Admission.ExchangeSample(nil)), askLimit)
 	if err != nil {
 		return err
 	}
-	s.Door.Merge(sample(answer))
+	s.Admission.MergeSample(sample(answer))
 	return nil
 }
 
 // Serve answers another side's message; it reports false for messages of other services.
 func (s *Service) Serve(ctx context.Context, st *peer.Stream, m peer.Message) bool {
 	switch v := m.(type) {
-	case *peer.Exchange:
+	case *peer.LoadExchange:
 		s.answerExchange(ctx, st, v)
 	case *peer.Claim:
-		for _, h := range s.Door.Answer(v) {
+		for _, h := range s.Admission.AnswerClaim(v) {
 			_ = st.Send(ctx, h)
 		}
 		_ = st.Send(ctx, &peer.Reset{Reason: "no more records"})
 	case *peer.Handover:
-		s.Door.Keep(v)
-		_ = st.Send(ctx, &peer.Kept{})
-	case *peer.Fetch:
+		s.Admission.KeepHandover(v)
+		_ = st.Send(ctx, &peer.HandoverAck{})
+	case *peer.FetchPrefix:
 		s.Prefixes.Serve(ctx, st, v)
 	case *peer.Leaving:
 		s.leaving(st.Link().Remote())
@@ -182,34 +182,34 @@
 // leaving takes another side's word that it leaves, or a router's word that this VM is listed as leaving.
 func (s *Service) leaving(from peer.Hello) {
 	if from.Role == peer.RoleRouter {
-		s.Door.Listed()
+		s.Admission.ListedLeaving()
 		return
 	}
-	s.Door.Forget(settings.UpstreamID(from.ID))
+	s.Admission.Forget(settings.UpstreamID(from.ID))
 }
 
-func (s *Service) answerExchange(ctx context.Context, st *peer.Stream, v *peer.Exchange) {
-	name, _ := s.Door.Siblings()
+func (s *Service) answerExchange(ctx context.Context, st *peer.Stream, v *peer.LoadExchange) {
+	name, _ := s.Admission.Siblings()
 	if v.Service != name {
 		_ = st.Send(ctx, &peer.Reset{Reason: "other service"})
 		return
 	}
 	theirs := sample(v)
-	mine := s.Door.Exchange(&theirs)
+	mine := s.Admission.ExchangeSample(&theirs)
 	_ = st.Send(ctx, message(name, mine))
 }
 
-func message(name settings.ServiceName, s mean.Sample) *peer.Exchange {
-	return &peer.Exchange{Side: s.Side, Service: name, Load: float32(s.Load), Mean: float32(s.Mean), Known: s.Known}
+func message(name settings.ServiceName, s meanload.Sample) *peer.LoadExchange {
+	return &peer.LoadExchange{Side: s.Side, Service: name, Load: float32(s.Load), Mean: float32(s.Mean), MeanKnown: s.Known}
 }
 
-func sample(e *peer.Exchange) mean.Sample {
-	return mean.Sample{Side: e.Side, Load: settings.Tokens(e.Load), Mean: settings.Tokens(e.Mean), Known: e.Known}
+func sample(e *peer.LoadExchange) meanload.Sample {
+	return meanload.Sample{Side: e.Side, Load: settings.Tokens(e.Load), Mean: settings.Tokens(e.Mean), Known: e.MeanKnown}
 }
 
 // claim asks every side whose word is missing for the records that belong here now.
 func (s *Service) claim(ctx context.Context) {
-	for _, q := range s.Door.Claims() {
+	for _, q := range s.Admission.PendingClaims() {
 		s.claimFrom(ctx, q.Claim, q.Address)
 	}
 }
@@ -235,25 +235,25 @@
 		if !ok {
 			return
 		}
-		s.Door.Claimed(h)
+		s.Admission.ApplyHandover(h)
 	}
 }
 
-// Bequeath leaves this side's records with one other side. A second copy could outlive the first and mislead a
+// HandOver leaves this side's records with one other side. A second copy could outlive the first and mislead a
 // later successor, so another side is tried only where nothing was sent.
-func (s *Service) Bequeath(ctx context.Context) {
-	handover := s.Door.Handover()
+func (s *Service) HandOver(ctx context.Context) {
+	handover := s.Admission.Handover()
 	if handover == nil {
 		return
 	}
-	_, addresses := s.Door.Siblings()
+	_, addresses := s.Admission.Siblings()
 	for _, address := range addresses {
 		l, err := s.Dialer.Dial(ctx, address)
 		if err != nil {
 			continue
 		}
 		// Without an answer the successor waits until the keys have outlived their lifetime.
-		_, _ = peer.Ask[*peer.Kept](ctx, l, handover, askLimit)
+		_, _ = peer.Ask[*peer.HandoverAck](ctx, l, handover, askLimit)
 		return
 	}
 }
--- a/standin/internal/bench/capacity.go
+++ b/standin/internal/bench/capacity.go
@@ -13,13 +13,13 @@
 	"github.com/charmbracelet/log"
 	"github.com/cockroachdb/errors"
 
+	"rattantrack.dev/core/cacheowner"
 	"rattantrack.dev/core/clock"
-	"rattantrack.dev/core/holder"
+	"rattantrack.dev/core/gossip"
 	"rattantrack.dev/core/outcome"
 	"rattantrack.dev/core/peer"
 	"rattantrack.dev/core/revision"
 	"rattantrack.dev/core/settings"
-	"rattantrack.dev/core/spread"
 	"rattantrack.dev/standin/internal/fleet"
 )
 
@@ -63,7 +63,7 @@
 	defer all.stop()
 	f, err := fleet.Start(ctx, fleet.Options{
 		Bin: bin, Dir: dir, Routers: 1, Engines: 1, DrainTime: 2 * time.Second, NoticeTime: 100 * time.Millisecond,
-		Declare: func(d *settings.Fleet) { all.declare(d, fleet.ModelService) },
+		Declare: func(d *settings.Declarations) { all.declare(d, fleet.ModelService) },
 	})
 	if err != nil {
 		return err
@@ -189,7 +189,7 @@
 type node struct {
 	store    *revision.Store
 	endpoint *peer.Endpoint
-	service  *spread.Service
+	service  *gossip.Service
 }
 
 // Serve gives messages to the spread service.
@@ -271,7 +271,7 @@
 func runNodes(ctx context.Context, nodes []*node, addresses []string, wg *sync.WaitGroup) {
 	for i, one := range nodes {
 		others := append(append([]string{}, addresses[:i]...), addresses[i+1:]...)
-		one.service = &spread.Service{
+		one.service = &gossip.Service{
 			Store:      one.store,
 			Dialer:     one.endpoint,
 			Log:        log.New(io.Discard),
@@ -319,10 +319,10 @@
 // tables measures the memory of a side's directory and keys.
 func tables(w *Writer) error {
 	for _, n := range tableCounts {
-		d := &holder.Directory{Entries: n}
+		d := &cacheowner.Table{MaxEntries: n}
 		used := heapOf(func() {
 			for i := range n {
-				d.Served(uint64(i)*0x9e3779b97f4a7c15, settings.UpstreamID(fmt.Sprintf("letterhouse-%04d", i%1015)))
+				d.RecordServed(uint64(i)*0x9e3779b97f4a7c15, settings.UpstreamID(fmt.Sprintf("letterhouse-%04d", i%1015)))
 			}
 		})
 		runtime.KeepAlive(d)
