--- a/router/internal/direct/attempt.go
+++ b/router/internal/direct/attempt.go
@@ -18,144 +18,151 @@
 
 // Limits of one attempt.
 const (
-	// maxBuffered is the largest answer that is read whole before the client gets any of it, so that it can be repeated.
-	maxBuffered = 256 << 10
-	// slowFactor is how many objectives a repeatable request waits for its answer before it is repeated elsewhere.
-	slowFactor = 2
-	// minSlow and minStall bound from below how long a repeatable request waits for an answer or for an event.
-	minSlow  = 250 * time.Millisecond
-	minStall = 1200 * time.Millisecond
-	// stallFactor is how many pause objectives a resumable stream may stand still before it is resumed elsewhere.
-	stallFactor = 4
+	// maxBufferedBytes bounds the responses that are read completely before the client gets any of them, so that the
+	// request can still be retried.
+	maxBufferedBytes = 256 << 10
+	// responseTimeoutFactor is how many objectives a repeatable request waits for a response before the attempt is given
+	// up for a retry elsewhere.
+	responseTimeoutFactor = 2
+	// minResponseTimeout and minStallTimeout are the lower bounds on the wait for a response and for a stream event.
+	minResponseTimeout = 250 * time.Millisecond
+	minStallTimeout    = 1200 * time.Millisecond
+	// stallTimeoutFactor is how many pause objectives a resumable stream may go without an event before the attempt is
+	// given up and the stream resumed elsewhere.
+	stallTimeoutFactor = 4
 )
 
-// attempt sends the request to one upstream and relays its answer.
-func (x *exchange) attempt(ctx context.Context, i members.Instance) attempt.Ending {
-	d := x.d
-	now := d.Clock.Now()
-	d.InFlight.Begin(i.ID)
+// attempt sends the request to one upstream and relays its response.
+func (ex *exchange) attempt(ctx context.Context, inst members.Instance) attempt.Ending {
+	dispatcher := ex.dispatcher
+	now := dispatcher.Clock.Now()
+	dispatcher.InFlight.Begin(inst.ID)
 	defer func() {
-		d.InFlight.End(i.ID)
-		d.Queues.RequestEnded(d.Clock.Now(), x.Service)
+		dispatcher.InFlight.End(inst.ID)
+		dispatcher.Queues.RequestEnded(dispatcher.Clock.Now(), ex.Service)
 	}()
-	conn, err := d.Connections.Get(ctx, i, !x.RouteConfig.Repeatable())
+	conn, err := dispatcher.Connections.Get(ctx, inst, !ex.RouteConfig.Repeatable())
 	if err != nil {
 		if ctx.Err() != nil {
 			return attempt.ClientGone
 		}
 		return attempt.NotSent
 	}
-	x.res.Upstream = i.ID
-	if x.RouteConfig.Affinity {
-		d.Affinity.RecordUse(now, x.PromptBlocks, i.ID)
+	ex.res.Upstream = inst.ID
+	if ex.RouteConfig.Affinity {
+		dispatcher.Affinity.RecordUse(now, ex.PromptBlocks, inst.ID)
 	}
-	d.Unresponsive.Begin(d.Clock.Now(), i.ID)
-	defer d.Unresponsive.End(i.ID)
+	dispatcher.Unresponsive.Begin(dispatcher.Clock.Now(), inst.ID)
+	defer dispatcher.Unresponsive.End(inst.ID)
 	stop := context.AfterFunc(ctx, conn.Close)
-	watch := x.watch(conn)
-	res, err := conn.Do(x.outgoing(i))
+	timer := ex.startStallTimer(conn)
+	res, err := conn.Do(ex.outbound(inst))
 	if err != nil {
-		x.stalled = watch.Stop()
+		ex.stalled = timer.stop()
 		stop()
 		conn.Close()
-		return x.unanswered(ctx, i, err)
+		return ex.noResponse(ctx, inst, err)
 	}
-	d.Unresponsive.ResponseReceived(d.Clock.Now(), i.ID)
-	if x.res.FirstByte == 0 {
-		x.res.FirstByte = d.Clock.Now().Sub(x.Arrived)
+	dispatcher.Unresponsive.ResponseReceived(dispatcher.Clock.Now(), inst.ID)
+	if ex.res.FirstByte == 0 {
+		ex.res.FirstByte = dispatcher.Clock.Now().Sub(ex.Arrived)
 	}
-	ending, whole := x.answered(ctx, i, res, watch)
-	x.stalled = watch.Stop()
-	// A connection that ctx or the watch closes cannot carry another request.
-	if !stop() || x.stalled || !whole {
+	ending, complete := ex.relayResponse(ctx, inst, res, timer)
+	ex.stalled = timer.stop()
+	// A connection that ctx or the stall timer closes cannot carry another request.
+	if !stop() || ex.stalled || !complete {
 		conn.Close()
 		return ending
 	}
-	d.Connections.Put(conn, res)
+	dispatcher.Connections.Put(conn, res)
 	return ending
 }
 
-// outgoing returns the request as this attempt sends it.
-func (x *exchange) outgoing(i members.Instance) *upstream.Request {
-	out := x.Outbound
-	out.Header = maps.Clone(x.Outbound.Header)
-	x.d.Dialect.WriteAttempt(out.Header, call.Attempt{
-		Upstream:  i.ID,
-		Timeout:   x.Remaining(x.d.Clock.Now()),
-		Team:      x.Team,
-		Rank:      x.Rank,
-		LastEvent: x.relay.last,
+// outbound returns the request with the header fields of this attempt.
+func (ex *exchange) outbound(inst members.Instance) *upstream.Request {
+	out := ex.Outbound
+	out.Header = maps.Clone(ex.Outbound.Header)
+	ex.dispatcher.Dialect.WriteAttempt(out.Header, call.Attempt{
+		Upstream:  inst.ID,
+		Timeout:   ex.Remaining(ex.dispatcher.Clock.Now()),
+		Team:      ex.Team,
+		Rank:      ex.Rank,
+		LastEvent: ex.relay.lastEvent,
 	})
 	return &out
 }
 
-// unanswered classifies an attempt without the head of an answer.
-func (x *exchange) unanswered(ctx context.Context, i members.Instance, err error) attempt.Ending {
+// noResponse returns the ending of an attempt that got no response head.
+func (ex *exchange) noResponse(ctx context.Context, inst members.Instance, err error) attempt.Ending {
 	var notSent *upstream.NotSentError
 	if errors.As(err, &notSent) {
 		return attempt.NotSent
 	}
-	x.res.Runs++
+	ex.res.Runs++
 	if ctx.Err() != nil {
 		return attempt.ClientGone
 	}
-	x.d.Log.Warn("answer lost", "request", x.ID, "upstream", i.ID, "error", err)
+	ex.dispatcher.Log.Warn("answer lost", "request", ex.ID, "upstream", inst.ID, "error", err)
 	return attempt.Lost
 }
 
-// answered relays an answer; whole reports whether it was read to its end.
-func (x *exchange) answered(ctx context.Context, i members.Instance, res *upstream.Response, watch *watch) (ending attempt.Ending, whole bool) {
+// relayResponse relays a response; complete reports whether it was read to its end.
+func (ex *exchange) relayResponse(
+	ctx context.Context, inst members.Instance, res *upstream.Response, timer *stallTimer,
+) (ending attempt.Ending, complete bool) {
 	if res.Answer.NotRun || res.Answer.Misdirected {
 		if res.Answer.Misdirected {
-			x.misdirected(i, res)
+			ex.misdirected(inst, res)
 		}
-		_, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxBuffered))
+		_, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxBufferedBytes))
 		return attempt.Refused, err == nil
 	}
-	x.res.Runs++
-	x.res.Status = res.StatusCode
+	ex.res.Runs++
+	ex.res.Status = res.StatusCode
 	if res.StatusCode >= http.StatusBadRequest {
-		return x.failed(ctx, i, res)
+		return ex.handleFailure(ctx, inst, res)
 	}
-	if x.RouteConfig.Kind == settings.RouteStream && res.StatusCode == http.StatusOK {
-		return x.stream(ctx, i, res, watch)
+	if ex.RouteConfig.Kind == settings.RouteStream && res.StatusCode == http.StatusOK {
+		return ex.relayStream(ctx, inst, res, timer)
 	}
-	return x.body(ctx, i, res)
+	return ex.relayBody(ctx, inst, res)
 }
 
-func (x *exchange) misdirected(i members.Instance, res *upstream.Response) {
-	// The upstream may also answer so for other reasons than its identity, so the entry stays until the platform
-	// changes it; the request does not go there again.
-	x.d.Log.Warn("misdirected", "request", x.ID, "upstream", i.ID, "address", i.Address, "status", res.StatusCode)
-	x.d.Outliers.RecordUnreachable(x.d.Clock.Now(), i.ID, i.Service)
+func (ex *exchange) misdirected(inst members.Instance, res *upstream.Response) {
+	// The upstream may send this status for other reasons than a wrong identity, so the directory entry stays until the
+	// platform changes it. This request does not go there again.
+	ex.dispatcher.Log.Warn("misdirected", "request", ex.ID, "upstream", inst.ID, "address", inst.Address, "status", res.StatusCode)
+	ex.dispatcher.Outliers.RecordUnreachable(ex.dispatcher.Clock.Now(), inst.ID, inst.Service)
 }
 
-// failed keeps a failure that the upstream answered whole, to be passed on if nothing better follows.
-func (x *exchange) failed(ctx context.Context, i members.Instance, res *upstream.Response) (attempt.Ending, bool) {
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxBuffered))
-	if err != nil || len(body) == maxBuffered {
-		return x.broken(ctx, i, err), false
+// handleFailure reads a failure response. It relays a client error at once, and keeps a server error in case no retry
+// succeeds.
+func (ex *exchange) handleFailure(ctx context.Context, inst members.Instance, res *upstream.Response) (attempt.Ending, bool) {
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxBufferedBytes))
+	if err != nil || len(body) == maxBufferedBytes {
+		return ex.interrupted(ctx, inst, err), false
 	}
-	if promisesNotRun(res.StatusCode) {
-		// The status promises the client what the upstream did not state.
-		x.d.Log.Warn("refusal without a statement", "request", x.ID, "upstream", i.ID, "status", res.StatusCode)
+	if impliesNotRun(res.StatusCode) {
+		// Relaying the status would tell the client that the request was not run, which the upstream did not confirm.
+		ex.dispatcher.Log.Warn("upstream refused without confirming that the request was not run", "request", ex.ID,
+			"upstream", inst.ID, "status", res.StatusCode)
 		return attempt.Lost, true
 	}
-	x.failure = &wholeAnswer{status: res.StatusCode, header: res.Header, body: body}
+	ex.failure = &bufferedResponse{status: res.StatusCode, header: res.Header, body: body}
 	if res.StatusCode < http.StatusInternalServerError {
-		// The upstream's word on the request itself, which another upstream would repeat.
-		if err := x.failure.send(x.sink); err != nil {
+		// A client error concerns the request itself, so another upstream would give the same response.
+		if err := ex.failure.send(ex.sink); err != nil {
 			return attempt.ClientGone, true
 		}
-		x.relay.headed = true
+		ex.relay.headSent = true
 		return attempt.Complete, true
 	}
-	x.d.Log.Info("upstream failure", "request", x.ID, "upstream", i.ID, "status", res.StatusCode)
+	ex.dispatcher.Log.Info("upstream failure", "request", ex.ID, "upstream", inst.ID, "status", res.StatusCode)
 	return attempt.Failed, true
 }
 
-// promisesNotRun reports whether a status tells a client that its request was not run and never will be.
-func promisesNotRun(status int) bool {
+// impliesNotRun reports whether a status tells the client that its request was not run and will not be.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -163,47 +170,47 @@
 	return false
 }
 
-func (x *exchange) broken(ctx context.Context, i members.Instance, err error) attempt.Ending {
+func (ex *exchange) interrupted(ctx context.Context, inst members.Instance, err error) attempt.Ending {
 	if ctx.Err() != nil {
 		return attempt.ClientGone
 	}
-	x.d.Log.Warn("answer broken off", "request", x.ID, "upstream", i.ID, "events", x.relay.events, "error", err)
-	if x.relay.headed {
+	ex.dispatcher.Log.Warn("answer broken off", "request", ex.ID, "upstream", inst.ID, "events", ex.relay.events, "error", err)
+	if ex.relay.headSent {
 		return attempt.Cut
 	}
 	return attempt.Lost
 }
 
-// body relays an answer that is no stream, reading it whole first where it is small.
-func (x *exchange) body(ctx context.Context, i members.Instance, res *upstream.Response) (attempt.Ending, bool) {
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxBuffered))
+// relayBody relays a response that is not a stream. A small one is read completely first.
+func (ex *exchange) relayBody(ctx context.Context, inst members.Instance, res *upstream.Response) (attempt.Ending, bool) {
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxBufferedBytes))
 	if err != nil {
-		return x.broken(ctx, i, err), false
+		return ex.interrupted(ctx, inst, err), false
 	}
-	if len(body) < maxBuffered {
-		whole := &wholeAnswer{status: res.StatusCode, header: res.Header, body: body}
-		x.relay.headed = true
-		if err := whole.send(x.sink); err != nil {
+	if len(body) < maxBufferedBytes {
+		buffered := &bufferedResponse{status: res.StatusCode, header: res.Header, body: body}
+		ex.relay.headSent = true
+		if err := buffered.send(ex.sink); err != nil {
 			return attempt.ClientGone, true
 		}
 		return attempt.Complete, true
 	}
-	x.relay.headed = true
-	if err := x.sink.WriteHead(res.StatusCode, res.Header, res.ContentLength); err != nil {
+	ex.relay.headSent = true
+	if err := ex.sink.WriteHead(res.StatusCode, res.Header, res.ContentLength); err != nil {
 		return attempt.ClientGone, false
 	}
-	if err := x.sink.Write(body, false); err != nil {
+	if err := ex.sink.Write(body, false); err != nil {
 		return attempt.ClientGone, false
 	}
-	return x.copyRest(ctx, i, res)
+	return ex.relayRest(ctx, inst, res)
 }
 
-func (x *exchange) copyRest(ctx context.Context, i members.Instance, res *upstream.Response) (attempt.Ending, bool) {
+func (ex *exchange) relayRest(ctx context.Context, inst members.Instance, res *upstream.Response) (attempt.Ending, bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := res.Body.Read(buf)
 		if n > 0 {
-			if err := x.sink.Write(buf[:n], false); err != nil {
+			if err := ex.sink.Write(buf[:n], false); err != nil {
 				return attempt.ClientGone, false
 			}
 		}
@@ -211,62 +218,66 @@
 			return attempt.Complete, true
 		}
 		if err != nil {
-			return x.broken(ctx, i, err), false
+			return ex.interrupted(ctx, inst, err), false
 		}
 	}
 }
 
-// stream relays events until the stream ends.
-func (x *exchange) stream(ctx context.Context, i members.Instance, res *upstream.Response, watch *watch) (attempt.Ending, bool) {
+// relayStream relays events until the stream ends.
+func (ex *exchange) relayStream(
+	ctx context.Context, inst members.Instance, res *upstream.Response, timer *stallTimer,
+) (attempt.Ending, bool) {
 	events := upstream.NewEvents(res.Body)
 	for {
 		e, err := events.Next()
 		if errors.Is(err, io.EOF) {
-			if err := x.relay.end(res); err != nil {
+			if err := ex.relay.end(res); err != nil {
 				return attempt.ClientGone, true
 			}
 			return attempt.Complete, true
 		}
 		if err != nil {
-			return x.broken(ctx, i, err), false
+			return ex.interrupted(ctx, inst, err), false
 		}
-		x.d.Unresponsive.ResponseReceived(x.d.Clock.Now(), i.ID)
-		watch.progress()
-		if err := x.relay.event(res, e, !events.Buffered()); err != nil {
-			var order *orderError
-			if errors.As(err, &order) {
-				return x.broken(ctx, i, err), false
+		ex.dispatcher.Unresponsive.ResponseReceived(ex.dispatcher.Clock.Now(), inst.ID)
+		timer.reset()
+		if err := ex.relay.event(res, e, !events.Buffered()); err != nil {
+			var orderErr *eventOrderError
+			if errors.As(err, &orderErr) {
+				return ex.interrupted(ctx, inst, err), false
 			}
 			return attempt.ClientGone, false
 		}
 	}
 }
 
-// watch closes the connection of a repeatable request that stands still for too long.
-type watch struct {
+// stallTimer closes the connection of a repeatable request that makes no progress for too long. The zero value never
+// fires.
+type stallTimer struct {
 	timer *time.Timer
 	pause time.Duration
 }
 
-func (x *exchange) watch(conn *upstream.Conn) *watch {
-	if !x.RouteConfig.Repeatable() || x.res.Runs+1 >= x.RouteConfig.Attempts {
-		return &watch{}
+// startStallTimer starts the timer of an attempt, unless the request may not run again after it.
+func (ex *exchange) startStallTimer(conn *upstream.Conn) *stallTimer {
+	if !ex.RouteConfig.Repeatable() || ex.res.Runs+1 >= ex.RouteConfig.Attempts {
+		return &stallTimer{}
 	}
-	slow := max(minSlow, slowFactor*x.RouteConfig.Objective)
-	if x.RouteConfig.Kind == settings.RouteStream {
-		slow = max(minStall, slow)
+	timeout := max(minResponseTimeout, responseTimeoutFactor*ex.RouteConfig.Objective)
+	if ex.RouteConfig.Kind == settings.RouteStream {
+		timeout = max(minStallTimeout, timeout)
 	}
-	w := &watch{pause: max(minStall, stallFactor*x.RouteConfig.PauseObjective)}
-	w.timer = time.AfterFunc(slow, conn.Close)
-	return w
+	t := &stallTimer{pause: max(minStallTimeout, stallTimeoutFactor*ex.RouteConfig.PauseObjective)}
+	t.timer = time.AfterFunc(timeout, conn.Close)
+	return t
 }
 
-// progress restarts the time, after the first event with the limit for pauses.
-func (w *watch) progress() {
-	if w.timer != nil {
-		w.timer.Reset(w.pause)
+// reset restarts the timer with the limit for the pause between events.
+func (t *stallTimer) reset() {
+	if t.timer != nil {
+		t.timer.Reset(t.pause)
 	}
 }
 
-// Stop ends the watch and reports whether it has closed the connection or is about to.
-func (w *watch) Stop() bool { return w.timer != nil && !w.timer.Stop() }
+// stop stops the timer and reports whether it has fired, so that the connection is closed or about to be.
+func (t *stallTimer) stop() bool { return t.timer != nil && !t.timer.Stop() }
--- a/router/internal/direct/dispatch.go
+++ b/router/internal/direct/dispatch.go
@@ -25,29 +25,29 @@
 	"rattantrack.dev/router/internal/upstream"
 )
 
-// Clock gives the present instant.
+// Clock returns the current instant.
 type Clock interface {
 	Now() clock.Instant
 }
 
-// Dialect writes what an upstream is told of an attempt and reads its answer.
+// Dialect writes the header fields of an attempt and reads those of the response.
 type Dialect interface {
 	upstream.Dialect
 	WriteAttempt(h http.Header, a call.Attempt)
 }
 
-// Connections gives connections to upstreams.
+// Connections provides connections to upstreams.
 type Connections interface {
 	Get(ctx context.Context, i members.Instance, once bool) (*upstream.Conn, error)
 	Put(c *upstream.Conn, res *upstream.Response)
 }
 
-// Cached waits until it is known which upstreams cache which prompts.
-type Cached interface {
+// Warmup waits until the router has the cache entries of the upstreams.
+type Warmup interface {
 	Wait(ctx context.Context, limit time.Duration)
 }
 
-// Dispatcher takes requests to upstreams.
+// Dispatcher sends requests to upstreams and relays their responses.
 type Dispatcher struct {
 	DataCentre   settings.DataCentre
 	Members      *members.Registry
@@ -59,197 +59,199 @@
 	Budget       *retry.FleetBudget
 	Connections  Connections
 	Dialect      Dialect
-	Warmup       Cached
+	Warmup       Warmup
 	Clock        Clock
 	Log          *log.Logger
 	Scope        tally.Scope
 }
 
-// Times of waiting between attempts.
+// Wait times of a request.
 const (
-	// waitPoll is how often a request without an upstream looks again.
-	waitPoll = 20 * time.Millisecond
-	// defaultRetryAfter is when a client should come back whose request found no upstream.
+	// noUpstreamPoll is how often placement is retried while the service has no usable upstream.
+	noUpstreamPoll = 20 * time.Millisecond
+	// defaultRetryAfter is when the client may retry a request that found no upstream.
 	defaultRetryAfter = 500 * time.Millisecond
-	// warmWait is how long a request with a long prompt waits after a restart until the cached prompts are known.
-	// Reading such a prompt again takes an engine about as long.
-	warmWait = 250 * time.Millisecond
+	// warmupWait is how long a request with a long shared prompt waits for the cache warm-up after a restart of the router.
+	// An engine needs about as long to process such a prompt again.
+	warmupWait = 250 * time.Millisecond
 )
 
-// exchange is one request on its way through its attempts.
+// exchange is the state of one request across its attempts.
 type exchange struct {
 	*Request
-	d     *Dispatcher
-	sink  Sink
-	tried tried
-	// stalled says that the last attempt was ended for standing still.
+	dispatcher *Dispatcher
+	sink       Sink
+	tried      triedUpstreams
+	// stalled reports that the stall timer ended the last attempt.
 	stalled bool
 	res     Result
 	relay   relay
-	// failure is the last failure that an upstream answered whole.
-	failure *wholeAnswer
+	// failure is the last complete failure response of an upstream.
+	failure *bufferedResponse
 }
 
-// Do takes a request to an upstream and its answer to the client.
+// Do sends a request to an upstream and relays the response to the client.
 func (d *Dispatcher) Do(ctx context.Context, r *Request, sink Sink) Result {
 	now := d.Clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, r.Remaining(now))
 	defer cancel()
 	d.Budget.RecordRequest(now, r.Service)
-	x := &exchange{Request: r, d: d, sink: sink, relay: relay{sink: sink, last: r.LastEvent}}
-	x.run(ctx)
-	x.res.HeadSent = x.relay.headed
-	x.res.Events = x.relay.events
-	d.Scope.Tagged(map[string]string{"outcome": string(x.res.Outcome), "code": x.res.Code}).Counter("requests").Inc(1)
-	return x.res
+	ex := &exchange{Request: r, dispatcher: d, sink: sink, relay: relay{sink: sink, lastEvent: r.LastEvent}}
+	ex.run(ctx)
+	ex.res.HeadSent = ex.relay.headSent
+	ex.res.Events = ex.relay.events
+	d.Scope.Tagged(map[string]string{"outcome": string(ex.res.Outcome), "code": ex.res.Code}).Counter("requests").Inc(1)
+	return ex.res
 }
 
-func (x *exchange) run(ctx context.Context) {
-	if x.RouteConfig.Affinity && x.SharedTokens() >= enginePolicy.LongPrefix {
-		x.d.Warmup.Wait(ctx, warmWait)
+func (ex *exchange) run(ctx context.Context) {
+	if ex.RouteConfig.Affinity && ex.SharedTokens() >= enginePolicy.LongPrefix {
+		ex.dispatcher.Warmup.Wait(ctx, warmupWait)
 	}
 	for {
-		instance, ok := x.upstream(ctx)
+		instance, ok := ex.nextUpstream(ctx)
 		if !ok {
 			return
 		}
-		ending := x.attempt(ctx, instance)
-		x.res.Last = ending
-		x.res.Attempts++
-		x.note(ctx, instance, ending)
+		ending := ex.attempt(ctx, instance)
+		ex.res.Last = ending
+		ex.res.Attempts++
+		ex.recordEnding(ctx, instance, ending)
 		step := attempt.Next(attempt.State{
 			Ending:     ending,
-			Repeatable: x.RouteConfig.Repeatable(),
-			Runs:       x.res.Runs,
-			MaxRuns:    x.RouteConfig.Attempts,
-			Attempts:   x.res.Attempts,
-			Remaining:  x.Remaining(x.d.Clock.Now()),
+			Repeatable: ex.RouteConfig.Repeatable(),
+			Runs:       ex.res.Runs,
+			MaxRuns:    ex.RouteConfig.Attempts,
+			Attempts:   ex.res.Attempts,
+			Remaining:  ex.Remaining(ex.dispatcher.Clock.Now()),
 		})
-		if step == attempt.Retry && !x.takeRepeat(instance, ending) {
+		if step == attempt.Retry && !ex.allowRetry(instance, ending) {
 			step = attempt.Stop
 		}
 		if step == attempt.Stop {
-			x.finish(ctx, ending)
+			ex.finish(ctx, ending)
 			return
 		}
 	}
 }
 
-// takeRepeat asks the fleet's budget for a repeat.
-func (x *exchange) takeRepeat(i members.Instance, ending attempt.Ending) bool {
-	now := x.d.Clock.Now()
-	routers := x.d.InFlight.RouterCount(now)
-	ok := x.d.Budget.Allow(now, x.Service, routers)
-	x.d.Log.Info("repeat", "request", x.ID, "upstream", i.ID, "ending", ending, "runs", x.res.Runs, "routers", routers, "allowed", ok)
+// allowRetry reports whether the fleet's retry budget allows a retry, and counts an allowed one.
+func (ex *exchange) allowRetry(inst members.Instance, ending attempt.Ending) bool {
+	now := ex.dispatcher.Clock.Now()
+	routers := ex.dispatcher.InFlight.RouterCount(now)
+	ok := ex.dispatcher.Budget.Allow(now, ex.Service, routers)
+	ex.dispatcher.Log.Info("repeat", "request", ex.ID, "upstream", inst.ID, "ending", ending, "runs", ex.res.Runs,
+		"routers", routers, "allowed", ok)
 	return ok
 }
 
-// upstream places the next attempt, waiting for room where the service is full; false means that the request has ended.
-func (x *exchange) upstream(ctx context.Context) (members.Instance, bool) {
-	begun := x.d.Clock.Now()
+// nextUpstream chooses the upstream of the next attempt and waits for room if the service is full. It returns false if
+// the request has ended.
+func (ex *exchange) nextUpstream(ctx context.Context) (members.Instance, bool) {
+	start := ex.dispatcher.Clock.Now()
 	for {
-		now := x.d.Clock.Now()
-		instance, choice := x.d.place(now, x.Request, &x.tried)
+		now := ex.dispatcher.Clock.Now()
+		instance, choice := ex.dispatcher.place(now, ex.Request, &ex.tried)
 		switch {
 		case choice.Reason == placement.Chosen:
-			x.res.QueueTime += now.Sub(begun)
-			x.res.Choice = choice
+			ex.res.QueueTime += now.Sub(start)
+			ex.res.Choice = choice
 			return instance, true
-		case choice.Reason == placement.NoUpstream && x.res.Attempts > 0:
-			// No upstream is left that this request has not tried.
-			x.giveUp(ctx, CodeNoUpstream, defaultRetryAfter)
+		case choice.Reason == placement.NoUpstream && ex.res.Attempts > 0:
+			// A request that has made an attempt does not wait for further upstreams.
+			ex.giveUp(ctx, CodeNoUpstream, defaultRetryAfter)
 			return members.Instance{}, false
 		}
-		if !x.wait(ctx, choice.Reason, begun) {
+		if !ex.waitForRoom(ctx, choice.Reason, start) {
 			return members.Instance{}, false
 		}
 	}
 }
 
-// wait waits until the request may be placed again; false means that it has ended.
-func (x *exchange) wait(ctx context.Context, reason placement.Reason, begun clock.Instant) bool {
-	now := x.d.Clock.Now()
+// waitForRoom waits until the request may be placed again. It returns false if the request has ended.
+func (ex *exchange) waitForRoom(ctx context.Context, reason placement.Reason, start clock.Instant) bool {
+	now := ex.dispatcher.Clock.Now()
 	if reason == placement.NoUpstream {
-		if now.Sub(begun) >= waiting.NoUpstreamWait(x.Remaining(begun)) {
-			x.giveUp(ctx, CodeNoUpstream, defaultRetryAfter)
+		if now.Sub(start) >= waiting.NoUpstreamWait(ex.Remaining(start)) {
+			ex.giveUp(ctx, CodeNoUpstream, defaultRetryAfter)
 			return false
 		}
-		return x.pause(ctx, waitPoll)
+		return ex.pause(ctx, noUpstreamPoll)
 	}
-	limit := x.waitLimit(begun)
-	t := &waiting.Waiter{Rank: x.Rank, Deadline: limit}
-	if refusal := x.d.Queues.Enter(now, x.Service, t); refusal != nil {
-		x.giveUp(ctx, CodeOverloaded, refusal.RetryAfter)
+	limit := ex.waitLimit(start)
+	waiter := &waiting.Waiter{Rank: ex.Rank, Deadline: limit}
+	if refusal := ex.dispatcher.Queues.Enter(now, ex.Service, waiter); refusal != nil {
+		ex.giveUp(ctx, CodeOverloaded, refusal.RetryAfter)
 		return false
 	}
-	defer x.d.Queues.Leave(x.Service, t)
+	defer ex.dispatcher.Queues.Leave(ex.Service, waiter)
 	timer := time.NewTimer(limit.Sub(now))
 	defer timer.Stop()
 	select {
-	case <-t.Ready():
+	case <-waiter.Ready():
 		return true
 	case <-timer.C:
-		x.giveUp(ctx, CodeOverloaded, x.d.Queues.RetryAfter(x.Service))
+		ex.giveUp(ctx, CodeOverloaded, ex.dispatcher.Queues.RetryAfter(ex.Service))
 	case <-ctx.Done():
-		x.giveUp(ctx, CodeDeadline, x.d.Queues.RetryAfter(x.Service))
+		ex.giveUp(ctx, CodeDeadline, ex.dispatcher.Queues.RetryAfter(ex.Service))
 	}
 	return false
 }
 
-// waitLimit is when a request in line is given up: an answer that starts later than its objective is late anyway, and
-// the client can do better with the rest of its time.
-func (x *exchange) waitLimit(begun clock.Instant) clock.Instant {
-	limit := x.RouteConfig.Objective
+// waitLimit returns when a queued request is given up. A response that starts after its objective is late anyway, and the
+// client can make better use of the remaining time.
+func (ex *exchange) waitLimit(start clock.Instant) clock.Instant {
+	limit := ex.RouteConfig.Objective
 	if limit == 0 {
-		limit = x.Remaining(begun) / 4
+		limit = ex.Remaining(start) / 4
 	}
-	return min(begun.Add(limit), x.Deadline)
+	return min(start.Add(limit), ex.Deadline)
 }
 
-func (x *exchange) pause(ctx context.Context, d time.Duration) bool {
+func (ex *exchange) pause(ctx context.Context, d time.Duration) bool {
 	if clock.Sleep(ctx, d) {
 		return true
 	}
-	x.giveUp(ctx, CodeDeadline, defaultRetryAfter)
+	ex.giveUp(ctx, CodeDeadline, defaultRetryAfter)
 	return false
 }
 
-// giveUp ends a request that has no further attempt.
-func (x *exchange) giveUp(ctx context.Context, code string, retryAfter time.Duration) {
-	if x.res.Runs > 0 || x.relay.headed {
-		x.finish(ctx, x.res.Last)
+// giveUp ends a request that gets no further attempt.
+func (ex *exchange) giveUp(ctx context.Context, code string, retryAfter time.Duration) {
+	if ex.res.Runs > 0 || ex.relay.headSent {
+		ex.finish(ctx, ex.res.Last)
 		return
 	}
-	x.res.Outcome, x.res.Code, x.res.RetryAfter = peer.OutcomeNotRun, code, retryAfter
+	ex.res.Outcome, ex.res.Code, ex.res.RetryAfter = peer.OutcomeNotRun, code, retryAfter
 	if clientGone(ctx) {
-		x.res.Code = CodeClientGone
+		ex.res.Code = CodeClientGone
 	}
 }
 
 func clientGone(ctx context.Context) bool { return errors.Is(ctx.Err(), context.Canceled) }
 
-// finish turns the ending of the last attempt into the result.
-func (x *exchange) finish(ctx context.Context, ending attempt.Ending) {
-	res := &x.res
+// finish derives the result from the ending of the last attempt.
+func (ex *exchange) finish(ctx context.Context, ending attempt.Ending) {
+	res := &ex.res
 	switch {
 	case clientGone(ctx):
 		res.Outcome, res.Code = peer.OutcomeUnknown, CodeClientGone
 	case ending == attempt.Complete:
 		res.Outcome, res.Code = peer.OutcomeDone, ""
-	case x.relay.headed:
+	case ex.relay.headSent:
 		res.Outcome, res.Code = peer.OutcomeUnknown, CodeCut
-	case x.failure != nil:
-		res.Outcome, res.Code, res.Status = peer.OutcomeDone, CodeUpstream, x.failure.status
-		if err := x.failure.send(x.sink); err != nil {
+	case ex.failure != nil:
+		res.Outcome, res.Code, res.Status = peer.OutcomeDone, CodeUpstream, ex.failure.status
+		if err := ex.failure.send(ex.sink); err != nil {
 			res.Code = CodeClientGone
 		}
-		x.relay.headed = true
+		ex.relay.headSent = true
 	case res.Runs == 0:
 		res.Outcome, res.Code = peer.OutcomeNotRun, CodeUnreachable
 		if ending == attempt.Refused {
 			res.Code = CodeRefused
 		}
-		res.RetryAfter = x.d.Queues.RetryAfter(x.Service)
+		res.RetryAfter = ex.dispatcher.Queues.RetryAfter(ex.Service)
 	case ctx.Err() != nil:
 		res.Outcome, res.Code = peer.OutcomeUnknown, CodeDeadline
 	default:
@@ -257,19 +259,20 @@
 	}
 }
 
-// note remembers what an ending says about the upstream.
-func (x *exchange) note(ctx context.Context, i members.Instance, ending attempt.Ending) {
-	now := x.d.Clock.Now()
-	x.tried.note(i.ID, ending, x.stalled)
+// recordEnding records what an ending shows about the upstream.
+func (ex *exchange) recordEnding(ctx context.Context, inst members.Instance, ending attempt.Ending) {
+	now := ex.dispatcher.Clock.Now()
+	ex.tried.record(inst.ID, ending, ex.stalled)
 	switch ending {
 	case attempt.NotSent:
-		retreat := x.d.Outliers.RecordUnreachable(now, i.ID, i.Service)
-		x.d.Log.Warn("upstream unreachable", "request", x.ID, "upstream", i.ID, "address", i.Address, "avoided_ms", retreat.Milliseconds())
+		avoidTime := ex.dispatcher.Outliers.RecordUnreachable(now, inst.ID, inst.Service)
+		ex.dispatcher.Log.Warn("upstream unreachable", "request", ex.ID, "upstream", inst.ID, "address", inst.Address,
+			"avoided_ms", avoidTime.Milliseconds())
 	case attempt.Complete:
-		x.d.Outliers.RecordResult(now, i.ID, i.Service, false)
+		ex.dispatcher.Outliers.RecordResult(now, inst.ID, inst.Service, false)
 	case attempt.Failed, attempt.Lost, attempt.Cut:
-		if ctx.Err() == nil && x.d.Outliers.RecordResult(now, i.ID, i.Service, true) {
-			x.d.Log.Warn("upstream ejected", "request", x.ID, "upstream", i.ID, "ending", ending)
+		if ctx.Err() == nil && ex.dispatcher.Outliers.RecordResult(now, inst.ID, inst.Service, true) {
+			ex.dispatcher.Log.Warn("upstream ejected", "request", ex.ID, "upstream", inst.ID, "ending", ending)
 		}
 	}
 }
--- a/router/internal/direct/dispatch_test.go
+++ b/router/internal/direct/dispatch_test.go
@@ -31,7 +31,7 @@
 	"rattantrack.dev/router/internal/upstream"
 )
 
-// testDialect uses header fields of the test's own.
+// testDialect uses header fields that only the tests know.
 type testDialect struct{}
 
 func (testDialect) WriteAttempt(h http.Header, a call.Attempt) {
@@ -48,29 +48,29 @@
 	}
 }
 
-// fakeUpstream answers each request with the next of its scripts, the last one again and again.
+// fakeUpstream handles each request with the next of its handlers, and all further ones with the last.
 type fakeUpstream struct {
-	mu      sync.Mutex
-	scripts []func(conn net.Conn, req *http.Request) (keep bool)
-	seen    []*http.Request
-	ln      net.Listener
+	mu       sync.Mutex
+	handlers []func(conn net.Conn, req *http.Request) (keep bool)
+	received []*http.Request
+	ln       net.Listener
 }
 
 func (u *fakeUpstream) next(req *http.Request) func(net.Conn, *http.Request) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.seen = append(u.seen, req)
-	s := u.scripts[0]
-	if len(u.scripts) > 1 {
-		u.scripts = u.scripts[1:]
+	u.received = append(u.received, req)
+	handler := u.handlers[0]
+	if len(u.handlers) > 1 {
+		u.handlers = u.handlers[1:]
 	}
-	return s
+	return handler
 }
 
 func (u *fakeUpstream) requests() []*http.Request {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.seen
+	return u.received
 }
 
 func (u *fakeUpstream) serve() {
@@ -96,15 +96,15 @@
 	}
 }
 
-// answer writes a whole answer to a request.
-func answer(status int, body string, fields ...string) func(net.Conn, *http.Request) bool {
+// respond returns a handler that writes a complete response and keeps the connection open.
+func respond(status int, body string, fields ...string) func(net.Conn, *http.Request) bool {
 	return func(conn net.Conn, req *http.Request) bool {
-		writeAnswer(conn, req.Header.Get("Id"), status, body, fields...)
+		writeResponse(conn, req.Header.Get("Id"), status, body, fields...)
 		return true
 	}
 }
 
-func writeAnswer(conn net.Conn, id string, status int, body string, fields ...string) {
+func writeResponse(conn net.Conn, id string, status int, body string, fields ...string) {
 	head := fmt.Sprintf("HTTP/1.1 %d X\r\nId: %s\r\nContent-Length: %d\r\n", status, id, len(body))
 	for _, f := range fields {
 		head += f + "\r\n"
@@ -112,8 +112,9 @@
 	_, _ = io.WriteString(conn, head+"\r\n"+body)
 }
 
-// events writes events of a stream from the one after Resume, up to last; whole says that the stream ends properly.
-func events(last int, whole bool) func(net.Conn, *http.Request) bool {
+// streamEvents returns a handler that writes the events after the one in Resume, up to last. Unless complete is set, the
+// stream breaks off within the next event.
+func streamEvents(last int, complete bool) func(net.Conn, *http.Request) bool {
 	return func(conn net.Conn, req *http.Request) bool {
 		from, _ := strconv.Atoi(req.Header.Get("Resume"))
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nTransfer-Encoding: chunked\r\n\r\n", req.Header.Get("Id"))
@@ -121,19 +122,18 @@
 			e := fmt.Sprintf("id: %d\ndata: %d\n\n", i, i)
 			_, _ = fmt.Fprintf(conn, "%x\r\n%s\r\n", len(e), e)
 		}
-		if whole {
+		if complete {
 			_, _ = io.WriteString(conn, "0\r\n\r\n")
 			return true
 		}
-		// The connection ends within an event.
 		_, _ = io.WriteString(conn, "5\r\nid: 9\r\n")
 		return false
 	}
 }
 
-func hangUp(net.Conn, *http.Request) bool { return false }
+func closeConn(net.Conn, *http.Request) bool { return false }
 
-// memorySink keeps an answer.
+// memorySink records a response.
 type memorySink struct {
 	status int
 	body   strings.Builder
@@ -149,18 +149,19 @@
 	return nil
 }
 
-type warmCache struct{}
+type noWarmup struct{}
 
-func (warmCache) Wait(context.Context, time.Duration) {}
+func (noWarmup) Wait(context.Context, time.Duration) {}
 
-// bench is a dispatcher with upstreams.
+// bench is a dispatcher with its upstreams.
 type bench struct {
 	*Dispatcher
 	upstreams []*fakeUpstream
 }
 
-// newBench starts one upstream for each list of scripts. The first one is the nearest, so it gets the first attempt.
-func newBench(t *testing.T, scripts ...[]func(net.Conn, *http.Request) bool) *bench {
+// newBench starts one upstream per list of handlers. The first upstream is in the dispatcher's data centre, so it gets the
+// first attempt.
+func newBench(t *testing.T, upstreams ...[]func(net.Conn, *http.Request) bool) *bench {
 	t.Helper()
 	c := qt.New(t)
 	b := &bench{Dispatcher: &Dispatcher{
@@ -168,13 +169,13 @@
 		Outliers: &outlier.Detector{}, Unresponsive: &unresponsive.Detector{}, Queues: &waiting.Queues{},
 		Budget:      &retry.FleetBudget{Limits: retry.Limits{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}},
 		Connections: &upstream.Pool{Dialect: testDialect{}},
-		Dialect:     testDialect{}, Warmup: warmCache{}, Clock: clock.Boot{}, Log: log.New(io.Discard), Scope: tally.NoopScope,
+		Dialect:     testDialect{}, Warmup: noWarmup{}, Clock: clock.Boot{}, Log: log.New(io.Discard), Scope: tally.NoopScope,
 	}}
 	var list []members.Change
-	for i, s := range scripts {
+	for i, script := range upstreams {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		c.Assert(err, qt.IsNil)
-		u := &fakeUpstream{scripts: s, ln: ln}
+		u := &fakeUpstream{handlers: script, ln: ln}
 		t.Cleanup(func() { _ = ln.Close() })
 		go u.serve()
 		b.upstreams = append(b.upstreams, u)
@@ -194,54 +195,58 @@
 func (b *bench) do(terms settings.Route, id string) (Result, *memorySink) {
 	now := b.Clock.Now()
 	terms.Timeout = 3 * time.Second
-	r := &Request{Request: call.Request{ID: call.ID(id)}, RouteConfig: terms, Service: "desk", Arrived: now, Deadline: now.Add(terms.Timeout)}
-	r.Outbound = upstream.Request{ID: r.ID, Method: http.MethodGet, URI: "/a/b?c=d", Host: "h.example", Header: http.Header{"Id": {id}}}
+	r := &Request{
+		Request: call.Request{ID: call.ID(id)}, RouteConfig: terms, Service: "desk", Arrived: now, Deadline: now.Add(terms.Timeout),
+	}
+	r.Outbound = upstream.Request{
+		ID: r.ID, Method: http.MethodGet, URI: "/a/b?c=d", Host: "h.example", Header: http.Header{"Id": {id}},
+	}
 	sink := &memorySink{}
 	return b.Do(context.Background(), r, sink), sink
 }
 
 var (
-	safe      = settings.Route{Kind: settings.RouteIdempotent, Attempts: 2}
-	once      = settings.Route{Kind: settings.RouteOnce, Attempts: 2}
-	resumable = settings.Route{Kind: settings.RouteStream, Resumable: true, Attempts: 2}
-	fragile   = settings.Route{Kind: settings.RouteStream, Attempts: 2}
+	idempotent = settings.Route{Kind: settings.RouteIdempotent, Attempts: 2}
+	once       = settings.Route{Kind: settings.RouteOnce, Attempts: 2}
+	resumable  = settings.Route{Kind: settings.RouteStream, Resumable: true, Attempts: 2}
+	stream     = settings.Route{Kind: settings.RouteStream, Attempts: 2}
 )
 
-type script = []func(net.Conn, *http.Request) bool
+type handlers = []func(net.Conn, *http.Request) bool
 
 func TestOutcomes(t *testing.T) {
-	notRun := answer(503, "", "Not-Run: 1")
+	notRun := respond(503, "", "Not-Run: 1")
 	tests := []struct {
 		name          string
 		terms         settings.Route
-		first, second script
+		first, second handlers
 		outcome       peer.Outcome
 		code          string
 		status, runs  int
 		body          string
 	}{
-		{"whole", once, script{answer(200, "ok")}, script{hangUp}, peer.OutcomeDone, "", 200, 1, "ok"},
-		{"a lost answer is repeated where that is allowed", safe, script{hangUp}, script{answer(200, "ok")}, peer.OutcomeDone, "", 200, 2, "ok"},
-		{"a lost answer is not repeated otherwise", once, script{hangUp}, script{answer(200, "ok")}, peer.OutcomeUnknown, CodeLost, 0, 1, ""},
-		{"a request that was not run goes elsewhere", once, script{notRun}, script{answer(200, "ok")}, peer.OutcomeDone, "", 200, 1, "ok"},
-		{"refused by all", once, script{notRun}, script{notRun}, peer.OutcomeNotRun, CodeNoUpstream, 0, 0, ""},
-		{"another instance has the address", once, script{answer(421, "")}, script{answer(200, "ok")}, peer.OutcomeDone, "", 200, 1, "ok"},
-		{"a failure is repeated where that is allowed", safe, script{answer(500, "no")}, script{answer(200, "ok")}, peer.OutcomeDone, "", 200, 2, "ok"},
-		{"the upstream's failure is passed on", once, script{answer(500, "no")}, script{answer(200, "ok")}, peer.OutcomeDone, CodeUpstream, 500, 1, "no"},
-		{"the last failure is passed on", safe, script{answer(500, "no")}, script{answer(500, "no")}, peer.OutcomeDone, CodeUpstream, 500, 2, "no"},
-		{"a stream goes on where it broke off", resumable, script{events(2, false)}, script{events(4, true)}, peer.OutcomeDone, "", 200, 2,
+		{"complete response", once, handlers{respond(200, "ok")}, handlers{closeConn}, peer.OutcomeDone, "", 200, 1, "ok"},
+		{"lost response is retried if repeatable", idempotent, handlers{closeConn}, handlers{respond(200, "ok")}, peer.OutcomeDone, "", 200, 2, "ok"},
+		{"lost response is not retried if not repeatable", once, handlers{closeConn}, handlers{respond(200, "ok")}, peer.OutcomeUnknown, CodeLost, 0, 1, ""},
+		{"request that was not run is retried elsewhere", once, handlers{notRun}, handlers{respond(200, "ok")}, peer.OutcomeDone, "", 200, 1, "ok"},
+		{"refused by all upstreams", once, handlers{notRun}, handlers{notRun}, peer.OutcomeNotRun, CodeNoUpstream, 0, 0, ""},
+		{"another instance has the address", once, handlers{respond(421, "")}, handlers{respond(200, "ok")}, peer.OutcomeDone, "", 200, 1, "ok"},
+		{"failure is retried if repeatable", idempotent, handlers{respond(500, "no")}, handlers{respond(200, "ok")}, peer.OutcomeDone, "", 200, 2, "ok"},
+		{"failure is relayed if not repeatable", once, handlers{respond(500, "no")}, handlers{respond(200, "ok")}, peer.OutcomeDone, CodeUpstream, 500, 1, "no"},
+		{"last failure is relayed", idempotent, handlers{respond(500, "no")}, handlers{respond(500, "no")}, peer.OutcomeDone, CodeUpstream, 500, 2, "no"},
+		{"resumable stream continues after its last event", resumable, handlers{streamEvents(2, false)}, handlers{streamEvents(4, true)}, peer.OutcomeDone, "", 200, 2,
 			"id: 1\ndata: 1\n\nid: 2\ndata: 2\n\nid: 3\ndata: 3\n\nid: 4\ndata: 4\n\n"},
-		{"a stream that cannot be resumed ends", fragile, script{events(2, false)}, script{events(4, true)}, peer.OutcomeUnknown, CodeCut, 200, 1,
+		{"stream that is not resumable is cut", stream, handlers{streamEvents(2, false)}, handlers{streamEvents(4, true)}, peer.OutcomeUnknown, CodeCut, 200, 1,
 			"id: 1\ndata: 1\n\nid: 2\ndata: 2\n\n"},
-		{"bytes that are no answer", safe, script{func(conn net.Conn, _ *http.Request) bool {
+		{"malformed response", idempotent, handlers{func(conn net.Conn, _ *http.Request) bool {
 			_, _ = io.WriteString(conn, "garbage\r\n\r\n")
 			return false
-		}}, script{answer(200, "ok")}, peer.OutcomeDone, "", 200, 2, "ok"},
-		{"a body that is cut short", safe, script{func(conn net.Conn, req *http.Request) bool {
+		}}, handlers{respond(200, "ok")}, peer.OutcomeDone, "", 200, 2, "ok"},
+		{"truncated body", idempotent, handlers{func(conn net.Conn, req *http.Request) bool {
 			_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 9\r\n\r\nhalf", req.Header.Get("Id"))
 			return false
-		}}, script{answer(200, "ok")}, peer.OutcomeDone, "", 200, 2, "ok"},
-		{"a refusal without the statement may have run", once, script{answer(503, "busy")}, script{answer(200, "ok")}, peer.OutcomeUnknown, CodeLost, 0, 1, ""},
+		}}, handlers{respond(200, "ok")}, peer.OutcomeDone, "", 200, 2, "ok"},
+		{"refusal without confirmation may have run", once, handlers{respond(503, "busy")}, handlers{respond(200, "ok")}, peer.OutcomeUnknown, CodeLost, 0, 1, ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -260,15 +265,15 @@
 	}
 }
 
-// TestAnswerToAnotherRequestIsSkipped replays an upstream that answers a request twice, the second time where the answer
-// to the next request is due.
-func TestAnswerToAnotherRequestIsSkipped(t *testing.T) {
+// TestResponseToAnotherRequestIsSkipped guards against relaying a response to the wrong request: the upstream sends a second
+// response to the first request when the second request is due.
+func TestResponseToAnotherRequestIsSkipped(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, script{
-		answer(200, "first"),
+	b := newBench(t, handlers{
+		respond(200, "first"),
 		func(conn net.Conn, req *http.Request) bool {
-			writeAnswer(conn, "r1", 200, "first again")
-			writeAnswer(conn, req.Header.Get("Id"), 200, "second")
+			writeResponse(conn, "r1", 200, "first again")
+			writeResponse(conn, req.Header.Get("Id"), 200, "second")
 			return true
 		},
 	})
@@ -281,27 +286,27 @@
 	c.Assert(sink.body.String(), qt.Equals, "second")
 }
 
-// TestBytesAfterAnAnswerEndTheConnection replays an upstream that sends more than its answer: the bytes belong to no
-// request, so the next one gets a new connection.
-func TestBytesAfterAnAnswerEndTheConnection(t *testing.T) {
+// TestBytesAfterResponseCloseConnection covers an upstream that sends bytes after its response. They belong to no request,
+// so the next request gets a new connection.
+func TestBytesAfterResponseCloseConnection(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, script{
+	b := newBench(t, handlers{
 		func(conn net.Conn, req *http.Request) bool {
-			writeAnswer(conn, req.Header.Get("Id"), 200, "first")
-			writeAnswer(conn, "", 200, "more")
+			writeResponse(conn, req.Header.Get("Id"), 200, "first")
+			writeResponse(conn, "", 200, "more")
 			return true
 		},
-		answer(200, "second"),
+		respond(200, "second"),
 	})
 	_, sink := b.do(once, "r1")
 	c.Assert(sink.body.String(), qt.Equals, "first")
-	// The surplus bytes have arrived once the upstream has read nothing for a while.
+	// Gives the surplus bytes time to arrive.
 	time.Sleep(50 * time.Millisecond)
 	_, sink = b.do(once, "r2")
 	c.Assert(sink.body.String(), qt.Equals, "second")
 }
 
-func TestNoUpstreamIsRefusedSoon(t *testing.T) {
+func TestRequestWithoutUpstreamIsRefused(t *testing.T) {
 	c := qt.New(t)
 	b := newBench(t)
 	res, _ := b.do(once, "r1")
@@ -310,9 +315,9 @@
 	c.Assert(res.RetryAfter, qt.Equals, defaultRetryAfter)
 }
 
-func TestRequestIsPassedOnUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, script{answer(200, "ok")})
+	b := newBench(t, handlers{respond(200, "ok")})
 	b.do(once, "r1")
 	req := b.upstreams[0].requests()[0]
 	c.Assert(req.RequestURI, qt.Equals, "/a/b?c=d")
@@ -320,24 +325,28 @@
 	c.Assert(req.Header.Get("Want"), qt.Equals, "u0")
 }
 
-func TestUpstreamLearnsTheRank(t *testing.T) {
+func TestAttemptCarriesRank(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, script{answer(200, "ok")})
+	b := newBench(t, handlers{respond(200, "ok")})
 	now := b.Clock.Now()
-	r := &Request{Request: call.Request{ID: "r1"}, RouteConfig: once, Service: "desk", Rank: 3, Arrived: now, Deadline: now.Add(time.Second)}
-	r.Outbound = upstream.Request{ID: r.ID, Method: http.MethodGet, URI: "/a/b", Host: "h.example", Header: http.Header{"Id": {"r1"}}}
+	r := &Request{
+		Request: call.Request{ID: "r1"}, RouteConfig: once, Service: "desk", Rank: 3, Arrived: now, Deadline: now.Add(time.Second),
+	}
+	r.Outbound = upstream.Request{
+		ID: r.ID, Method: http.MethodGet, URI: "/a/b", Host: "h.example", Header: http.Header{"Id": {"r1"}},
+	}
 	b.Do(context.Background(), r, &memorySink{})
 	c.Assert(b.upstreams[0].requests()[0].Header.Get("Rank"), qt.Equals, "3")
 }
 
-// TestFullServiceKeepsRequestsWaiting replays more requests at one moment than the upstream may hold: all that can be
-// served within their objective are, and none is sent beyond the room.
-func TestFullServiceKeepsRequestsWaiting(t *testing.T) {
+// TestRequestsQueueWhileServiceIsFull sends more requests at once than the upstream may hold. All of them must be served
+// within their objective, without many more open at the upstream than it may hold.
+func TestRequestsQueueWhileServiceIsFull(t *testing.T) {
 	c := qt.New(t)
 	const room, all = 8, 24
 	var mu sync.Mutex
 	open, most := 0, 0
-	b := newBench(t, script{func(conn net.Conn, req *http.Request) bool {
+	b := newBench(t, handlers{func(conn net.Conn, req *http.Request) bool {
 		mu.Lock()
 		open++
 		most = max(most, open)
@@ -346,7 +355,7 @@
 		mu.Lock()
 		open--
 		mu.Unlock()
-		writeAnswer(conn, req.Header.Get("Id"), 200, "ok")
+		writeResponse(conn, req.Header.Get("Id"), 200, "ok")
 		return true
 	}})
 	terms := once
@@ -364,29 +373,31 @@
 	for _, res := range results {
 		c.Check(res.Outcome, qt.Equals, peer.OutcomeDone)
 	}
-	// Placing and counting are two steps, so requests of one moment may pass the room by a few.
+	// Placement and counting are separate steps, so simultaneous requests may exceed the room by a few.
 	c.Assert(most <= 2*room, qt.IsTrue, qt.Commentf("%d at once", most))
 }
 
-// TestWatchThatHasFiredIsReported replays an answer that ends at the moment at which the watch gives the attempt up: its
+// TestFiredStallTimerIsReported guards against reusing a connection whose response ends just when the stall timer fires: the
 // connection is about to be closed, so it must not carry another request.
-func TestWatchThatHasFiredIsReported(t *testing.T) {
+func TestFiredStallTimerIsReported(t *testing.T) {
 	c := qt.New(t)
 	fired := make(chan struct{})
-	w := &watch{timer: time.AfterFunc(0, func() { close(fired) })}
+	w := &stallTimer{timer: time.AfterFunc(0, func() { close(fired) })}
 	<-fired
-	c.Assert(w.Stop(), qt.IsTrue)
-	w = &watch{timer: time.AfterFunc(time.Hour, func() {})}
-	c.Assert(w.Stop(), qt.IsFalse)
-	c.Assert((&watch{}).Stop(), qt.IsFalse)
+	c.Assert(w.stop(), qt.IsTrue)
+	w = &stallTimer{timer: time.AfterFunc(time.Hour, func() {})}
+	c.Assert(w.stop(), qt.IsFalse)
+	c.Assert((&stallTimer{}).stop(), qt.IsFalse)
 }
 
-// TestSilentUpstreamGetsNoFurtherRequests replays an upstream that goes dark while its connections stay open: requests
-// that come while another one waits there go elsewhere.
-func TestSilentUpstreamGetsNoFurtherRequests(t *testing.T) {
+// TestUnresponsiveUpstreamGetsNoFurtherRequests covers an upstream that stops responding while its connections stay open:
+// while one request waits there, later requests go elsewhere.
+func TestUnresponsiveUpstreamGetsNoFurtherRequests(t *testing.T) {
 	c := qt.New(t)
 	hold := make(chan struct{})
-	b := newBench(t, script{func(net.Conn, *http.Request) bool { <-hold; return false }}, script{answer(200, "ok")}, script{answer(200, "ok")})
+	b := newBench(t,
+		handlers{func(net.Conn, *http.Request) bool { <-hold; return false }},
+		handlers{respond(200, "ok")}, handlers{respond(200, "ok")})
 	var wg sync.WaitGroup
 	wg.Add(1)
 	go func() {
--- a/router/internal/direct/doc.go
+++ b/router/internal/direct/doc.go
@@ -1,2 +1,2 @@
-// Package direct takes requests to upstreams that the router reaches itself, and answers for their outcome.
+// Package direct dispatches requests to upstreams that the router reaches itself, and determines their outcome.
 package direct
--- a/router/internal/direct/place.go
+++ b/router/internal/direct/place.go
@@ -12,16 +12,16 @@
 	"rattantrack.dev/core/settings"
 )
 
-// tried is what a request has met at the upstreams.
-type tried struct {
-	// unusable are those that it did not reach, that refused it or that stood still.
+// triedUpstreams holds the upstreams at which earlier attempts of a request did not succeed.
+type triedUpstreams struct {
+	// unusable holds those that get no further attempt: they were not reached, refused the request, stalled or failed twice.
 	unusable []settings.UpstreamID
-	// failed are those that ran it and failed once.
+	// failed holds those that may have run the request and failed once.
 	failed []settings.UpstreamID
 }
 
-// note takes in the ending of an attempt.
-func (t *tried) note(id settings.UpstreamID, ending attempt.Ending, stalled bool) {
+// record adds the ending of an attempt.
+func (t *triedUpstreams) record(id settings.UpstreamID, ending attempt.Ending, stalled bool) {
 	switch ending {
 	case attempt.NotSent, attempt.Refused:
 		t.unusable = append(t.unusable, id)
@@ -36,12 +36,12 @@
 
 // enginePolicy places requests whose prompts the upstreams cache.
 var enginePolicy = placement.Policy{
-	// The fleet's bound on one upstream is twice the mean and three requests more. Counts of other routers are some
-	// hundred milliseconds old, so the bounds here are lower; a long cached prompt is worth more of the room.
+	// The fleet's load bound for one upstream is twice the mean plus three requests. The counts of other routers are some
+	// hundred milliseconds old, so the bounds here are lower. An upstream that caches a long prompt gets a higher bound.
 	Multiple: 1.4, Slack: 2,
 	LongMultiple: 1.75, LongSlack: 2.5,
 	LongPrefix: 2000,
-	// Reading 300 tokens takes an engine as long as a few steps of a batch with one request more.
+	// Processing 300 prompt tokens takes an engine as long as a few steps of a batch with one more request.
 	TokensPerRequest: 300,
 	NonPrimaryCost:   2,
 	DistanceCost:     0.25,
@@ -50,18 +50,18 @@
 	Overcommit:       1,
 }
 
-// plainPolicy places requests of services without a cache, which answer in tens of milliseconds.
+// plainPolicy places requests of services without a cache, which respond in tens of milliseconds.
 var plainPolicy = placement.Policy{
 	Multiple: 1.6, Slack: 2,
 	DistanceCost: 0.9,
 	ColdCost:     2,
 	FailureCost:  1000,
-	// A request that waits at the upstream behind one other for each slot is still on time.
+	// With one request waiting per slot at the upstream, responses are still on time.
 	Overcommit: 2,
 }
 
 // place chooses the upstream of an attempt.
-func (d *Dispatcher) place(now clock.Instant, r *Request, t *tried) (members.Instance, placement.Choice) {
+func (d *Dispatcher) place(now clock.Instant, r *Request, tried *triedUpstreams) (members.Instance, placement.Choice) {
 	serving := d.Members.Serving(r.Service)
 	if len(serving) == 0 {
 		return members.Instance{}, placement.Choice{Reason: placement.NoUpstream}
@@ -72,8 +72,8 @@
 	}
 	candidates := d.candidates(now, r, serving, ids)
 	for i := range candidates {
-		candidates[i].Excluded = candidates[i].Excluded || slices.Contains(t.unusable, ids[i])
-		candidates[i].Failed = slices.Contains(t.failed, ids[i])
+		candidates[i].Excluded = candidates[i].Excluded || slices.Contains(tried.unusable, ids[i])
+		candidates[i].Failed = slices.Contains(tried.failed, ids[i])
 	}
 	policy := &plainPolicy
 	if r.RouteConfig.Affinity {
@@ -87,14 +87,16 @@
 	return serving[choice.Index], choice
 }
 
-func (d *Dispatcher) candidates(now clock.Instant, r *Request, serving []members.Instance, ids []settings.UpstreamID) []placement.Candidate {
+func (d *Dispatcher) candidates(
+	now clock.Instant, r *Request, serving []members.Instance, ids []settings.UpstreamID,
+) []placement.Candidate {
 	loads := d.InFlight.Loads(now, ids)
 	excluded := d.excluded(now, ids)
-	var held []settings.Tokens
+	var cachedTokens []settings.Tokens
 	ranks := make([]int, len(ids))
 	if r.RouteConfig.Affinity {
-		held = d.Affinity.CachedTokens(now, r.sharedParts(), ids)
-		ranks = d.ranks(r, ids)
+		cachedTokens = d.Affinity.CachedTokens(now, r.sharedBlocks(), ids)
+		ranks = d.rendezvousRanks(r, ids)
 	}
 	candidates := make([]placement.Candidate, len(serving))
 	for i := range serving {
@@ -107,43 +109,43 @@
 			Cold:           serving[i].ColdRemaining > 0 && d.Members.ColdRemaining(now, ids[i]) > 0,
 			Excluded:       excluded[i],
 		}
-		if held != nil {
-			candidates[i].CachedTokens = held[i]
+		if cachedTokens != nil {
+			candidates[i].CachedTokens = cachedTokens[i]
 		}
 	}
 	return candidates
 }
 
-// excluded reports, for each upstream, whether it should get no requests now: it fails more than others, or it answers
-// nothing. Where that leaves none, only silence counts, which never leaves out more than half of them.
+// excluded reports for each upstream whether it should get no requests now, because it fails more than others or is
+// unresponsive. If that excludes all of them, only unresponsiveness counts, which never excludes more than half.
 func (d *Dispatcher) excluded(now clock.Instant, ids []settings.UpstreamID) []bool {
-	silent := d.Unresponsive.Unresponsive(now, ids)
+	unresponsive := d.Unresponsive.Unresponsive(now, ids)
 	excluded := d.Outliers.Ejected(now, ids)
 	for i := range excluded {
-		excluded[i] = excluded[i] || silent[i]
+		excluded[i] = excluded[i] || unresponsive[i]
 	}
 	if !slices.Contains(excluded, false) {
-		return silent
+		return unresponsive
 	}
 	return excluded
 }
 
-// sharedParts returns the parts of the prompt that other requests may share.
-func (r *Request) sharedParts() []call.PromptBlock {
+// sharedBlocks returns the prompt blocks that other requests may share.
+func (r *Request) sharedBlocks() []call.PromptBlock {
 	return r.PromptBlocks[:max(0, len(r.PromptBlocks)-1)]
 }
 
-// ranks returns the place of each upstream in the rendezvous order of the longest shared part: 0 for the first, 1 for
-// all others.
-func (d *Dispatcher) ranks(r *Request, ids []settings.UpstreamID) []int {
+// rendezvousRanks returns 0 for the primary of the last shared prompt block and 1 for all other upstreams, or 0 for all
+// if there is no shared block.
+func (d *Dispatcher) rendezvousRanks(r *Request, ids []settings.UpstreamID) []int {
 	ranks := make([]int, len(ids))
-	parts := r.sharedParts()
-	if len(parts) == 0 {
+	blocks := r.sharedBlocks()
+	if len(blocks) == 0 {
 		return ranks
 	}
-	home, ok := rendezvous.New(ids).Home(uint64(parts[len(parts)-1].ID))
+	primary, ok := rendezvous.New(ids).Home(uint64(blocks[len(blocks)-1].ID))
 	for i, id := range ids {
-		if !ok || id != home {
+		if !ok || id != primary {
 			ranks[i] = 1
 		}
 	}
--- a/router/internal/direct/relay.go
+++ b/router/internal/direct/relay.go
@@ -9,47 +9,49 @@
 	"rattantrack.dev/router/internal/upstream"
 )
 
-// wholeAnswer is an answer that was read to its end.
-type wholeAnswer struct {
+// bufferedResponse is a response that was read to its end.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-func (a *wholeAnswer) send(sink Sink) error {
-	if err := sink.WriteHead(a.status, a.header, int64(len(a.body))); err != nil {
+func (b *bufferedResponse) send(sink Sink) error {
+	if err := sink.WriteHead(b.status, b.header, int64(len(b.body))); err != nil {
 		return err
 	}
-	return sink.Write(a.body, false)
+	return sink.Write(b.body, false)
 }
 
-// orderError reports an event that does not follow the last one.
-type orderError struct {
+// eventOrderError reports an event whose id does not follow that of the last event.
+type eventOrderError struct {
 	last, got call.EventID
 }
 
-func (e *orderError) Error() string { return fmt.Sprintf("event %q follows event %q", e.got, e.last) }
+func (e *eventOrderError) Error() string {
+	return fmt.Sprintf("event %q follows event %q", e.got, e.last)
+}
 
-// relay passes the events of one or several runs on as one stream.
+// relay writes the events of one or several runs to the client as one stream.
 type relay struct {
-	sink   Sink
-	headed bool
-	// last is the id of the last event that the client has.
-	last   call.EventID
-	events int
+	sink     Sink
+	headSent bool
+	// lastEvent is the id of the last event that the client has.
+	lastEvent call.EventID
+	events    int
 }
 
-// event passes an event on. An event that the client already has is left out.
+// event writes an event to the client. It skips an event that the client already has.
 func (r *relay) event(res *upstream.Response, e upstream.Event, flush bool) error {
 	if e.ID != "" {
-		have, err1 := strconv.ParseInt(string(r.last), 10, 64)
+		have, err1 := strconv.ParseInt(string(r.lastEvent), 10, 64)
 		got, err2 := strconv.ParseInt(string(e.ID), 10, 64)
 		if err1 == nil && err2 == nil {
 			if got <= have {
 				return nil
 			}
 			if got != have+1 {
-				return &orderError{last: r.last, got: e.ID}
+				return &eventOrderError{last: r.lastEvent, got: e.ID}
 			}
 		}
 	}
@@ -60,20 +62,20 @@
 		return err
 	}
 	if e.ID != "" {
-		r.last = e.ID
+		r.lastEvent = e.ID
 	}
 	r.events++
 	return nil
 }
 
-// head begins the answer with the head of the first run; its length is not kept, since another run may go on.
+// head writes the response head of the first run, without its length, since another run may continue the stream.
 func (r *relay) head(res *upstream.Response) error {
-	if r.headed {
+	if r.headSent {
 		return nil
 	}
-	r.headed = true
+	r.headSent = true
 	return r.sink.WriteHead(res.StatusCode, res.Header, -1)
 }
 
-// end closes the stream.
+// end ends the stream; a stream without events still gets its head.
 func (r *relay) end(res *upstream.Response) error { return r.head(res) }
--- a/router/internal/direct/request.go
+++ b/router/internal/direct/request.go
@@ -13,7 +13,7 @@
 	"rattantrack.dev/router/internal/upstream"
 )
 
-// Request is a client's request on its way to an upstream.
+// Request is a client request with its route and its deadline.
 type Request struct {
 	call.Request
 	Route       settings.RouteName
@@ -22,24 +22,24 @@
 	Team        settings.TeamID
 	Rank        int
 	Revision    settings.Revision
-	// Arrived is when the request was read, Deadline when the client or the route's timeout gives up.
+	// Arrived is when the request was received. Deadline is the earlier of the client's deadline and the route's timeout.
 	Arrived, Deadline clock.Instant
-	// Outbound is the request as an upstream gets it, without what changes with each attempt.
+	// Outbound is the request as sent to an upstream, without the header fields of a single attempt.
 	Outbound upstream.Request
 }
 
 // Remaining returns the time until the deadline.
 func (r *Request) Remaining(now clock.Instant) time.Duration { return r.Deadline.Sub(now) }
 
-// Sink takes an answer for the client.
+// Sink writes the response to the client.
 type Sink interface {
-	// WriteHead begins the answer; length is the size of the body, or -1 where it is not known.
+	// WriteHead writes the status and the header fields; length is the size of the body, or -1 if it is unknown.
 	WriteHead(status int, h http.Header, length int64) error
-	// Write adds to the body; flush says that nothing more has arrived yet.
+	// Write appends to the body; flush sends the data at once, since no more has arrived yet.
 	Write(data []byte, flush bool) error
 }
 
-// Codes of outcomes.
+// Codes that give the reason for an outcome.
 const (
 	CodeNoUpstream  = "no_upstream"
 	CodeOverloaded  = "overloaded"
@@ -52,22 +52,23 @@
 	CodeUpstream    = "upstream_failure"
 )
 
-// Result is what became of a request.
+// Result describes how a request ended.
 type Result struct {
 	Outcome    peer.Outcome
 	Code       string
 	RetryAfter time.Duration
 	Status     int
 	Upstream   settings.UpstreamID
-	// Runs is the number of upstreams that may have run the request, Attempts the number of attempts.
+	// Runs is the number of attempts in which the upstream may have run the request, Attempts the number of all attempts.
 	Runs, Attempts int
-	// Events is the number of events that reached the client.
+	// Events is the number of stream events written to the client.
 	Events int
-	// QueueTime is the time in the queue for an upstream with room, FirstByte the time to the head of the answer.
+	// QueueTime is the time spent waiting for an upstream with room. FirstByte is the time from arrival to the first
+	// response head.
 	QueueTime, FirstByte time.Duration
-	// HeadSent says that the client has got the head of an answer.
+	// HeadSent reports that a response head was written to the client.
 	HeadSent bool
-	// Last is the ending of the last attempt, Choice what decided its upstream.
+	// Last is the ending of the last attempt. Choice is the placement of the last attempt.
 	Last   attempt.Ending
 	Choice placement.Choice
 }
