--- a/router/internal/client/doc.go
+++ b/router/internal/client/doc.go
@@ -1,2 +1,2 @@
-// Package client serves clients whose requests are routed by host and path prefix.
+// Package client implements the HTTP server for clients, whose requests are routed by host and path prefix.
 package client
--- a/router/internal/client/answer.go
+++ b/router/internal/client/response.go
@@ -12,16 +12,16 @@
 	"rattantrack.dev/router/internal/direct"
 )
 
-// defaultWriteTime is how long a client may leave an answer unread.
+// defaultWriteTime bounds each write to a client that does not read.
 const defaultWriteTime = 10 * time.Second
 
-// hopHeaders concern one connection only (RFC 9110, section 7.6.1); lengths are set anew on each connection.
+// hopHeaders apply to a single connection (RFC 9110, section 7.6.1). Content-Length is set anew on each connection.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "Te", "Trailer", "Upgrade", "Content-Length",
 	"Expect",
 }
 
-// forwarded returns the header fields that are passed on.
+// forwarded returns a copy of the header without the fields that apply to a single connection.
 func forwarded(h http.Header) http.Header {
 	out := h.Clone()
 	for _, list := range h["Connection"] {
@@ -35,7 +35,7 @@
 	return out
 }
 
-// sink writes an answer to the client.
+// sink writes a response to the client.
 type sink struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
@@ -43,14 +43,14 @@
 	writeTime time.Duration
 }
 
-// WriteHead begins the answer.
+// WriteHead writes the status and the header fields.
 func (s *sink) WriteHead(status int, h http.Header, length int64) error {
 	out := s.w.Header()
 	for name, values := range forwarded(h) {
 		out[name] = values
 	}
 	if out["Content-Type"] == nil {
-		// A nil value keeps the server from guessing a type.
+		// A nil value stops net/http from detecting a content type.
 		out["Content-Type"] = nil
 	}
 	if length >= 0 {
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// Write adds to the body.
+// Write appends to the body.
 func (s *sink) Write(data []byte, flush bool) error {
 	if err := s.control.SetWriteDeadline(time.Now().Add(s.writeTime)); err != nil {
 		return err
@@ -74,14 +74,14 @@
 	return s.control.Flush()
 }
 
-// refuse answers with a failure at once.
+// refuse writes a failure response.
 func (s *Server) refuse(w http.ResponseWriter, r *direct.Request, f *refusal, outcome peer.Outcome) {
 	s.Scope.Tagged(map[string]string{"code": f.code}).Counter("refusals").Inc(1)
 	s.Log.Info("refused", "request", r.ID, "route", r.Route, "revision", r.Revision, "status", f.status, "code", f.code,
 		"outcome", outcome, "retry_after_ms", f.retryAfter.Milliseconds())
 	body, err := json.Marshal(failureBody{Error: failureError{Outcome: outcome, Code: f.code, Request: r.ID}})
 	if err != nil {
-		s.Log.Error("encoding a failure", "request", r.ID, "error", err)
+		s.Log.Error("cannot encode the failure response", "request", r.ID, "error", err)
 	}
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -94,6 +94,6 @@
 	}
 	w.WriteHeader(f.status)
 	if _, err := w.Write(body); err != nil {
-		s.Log.Debug("client gone before its failure", "request", r.ID, "error", err)
+		s.Log.Debug("cannot write the failure response", "request", r.ID, "error", err)
 	}
 }
--- a/router/internal/client/serve.go
+++ b/router/internal/client/serve.go
@@ -18,20 +18,20 @@
 	"rattantrack.dev/router/internal/upstream"
 )
 
-// unreadyRetryAfter is when a client should come back to a router that has no declarations yet.
+// unreadyRetryAfter is when a client may retry at a router that has no declarations yet.
 const unreadyRetryAfter = 500 * time.Millisecond
 
-// refusal is a failure that the router answers itself.
+// refusal is a failure response of the router itself.
 type refusal struct {
 	status     int
 	code       string
 	retryAfter time.Duration
 }
 
-// ServeHTTP answers one request of a client.
+// ServeHTTP handles one client request.
 func (s *Server) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	s.open.Add(1)
-	defer s.open.Add(-1)
+	s.openRequests.Add(1)
+	defer s.openRequests.Add(-1)
 	if s.Stopping() {
 		w.Header().Set("Connection", "close")
 	}
@@ -49,7 +49,7 @@
 	s.dispatch(w, req, r)
 }
 
-// deadline is how long the request may take: the client's own time within the route's timeout.
+// deadline returns how long the request may take: the client's timeout, bounded by the route's.
 func deadline(r *direct.Request) time.Duration {
 	if r.Timeout == 0 {
 		return r.RouteConfig.Timeout
@@ -57,16 +57,16 @@
 	return min(r.Timeout, r.RouteConfig.Timeout)
 }
 
-// admit finds the route and the team of a request.
+// admit determines the route, the team and the service of a request.
 func (s *Server) admit(req *http.Request) (*direct.Request, *refusal) {
 	r := &direct.Request{}
-	read, err := s.Dialect.ReadRequest(req.Header)
-	r.Request = read
+	parsed, err := s.Dialect.ReadRequest(req.Header)
+	r.Request = parsed
 	if err != nil {
-		s.Log.Warn("malformed request", "request", read.ID, "error", err)
+		s.Log.Warn("malformed request", "request", parsed.ID, "error", err)
 		return r, &refusal{status: http.StatusBadRequest, code: "malformed_header"}
 	}
-	table := s.await(req.Context())
+	table := s.waitForTable(req.Context())
 	if table == nil {
 		return r, &refusal{status: http.StatusServiceUnavailable, code: "no_declarations", retryAfter: unreadyRetryAfter}
 	}
@@ -89,7 +89,7 @@
 	return r, nil
 }
 
-// authorize finds the team of the request's key.
+// authorize determines the team by the request's API key.
 func authorize(table *routing.Table, r *direct.Request, route *settings.Route) *refusal {
 	if route.Public || !table.KeyRequired() {
 		return nil
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// target returns path and query as the client sent them.
+// target returns the path and the query as the client sent them.
 func target(req *http.Request) string {
 	if strings.HasPrefix(req.RequestURI, "/") {
 		return req.RequestURI
@@ -110,7 +110,7 @@
 	return req.URL.RequestURI()
 }
 
-// readBody reads the request's body within the limits.
+// readBody reads the request body within the declared limits.
 func (s *Server) readBody(w http.ResponseWriter, req *http.Request, r *direct.Request) *refusal {
 	if req.ContentLength == 0 {
 		r.Outbound.HasBody = req.Header.Get("Content-Length") != "" || req.Method == http.MethodPost || req.Method == http.MethodPut
@@ -119,7 +119,7 @@
 	limits := s.table.Load().Limits
 	control := http.NewResponseController(w)
 	if err := control.SetReadDeadline(time.Now().Add(limits.IdleTime)); err != nil {
-		s.Log.Debug("setting a read deadline", "error", err)
+		s.Log.Debug("cannot set the read deadline", "error", err)
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, limits.BodyBytes))
 	if err != nil {
@@ -130,46 +130,47 @@
 		return &refusal{status: http.StatusBadRequest, code: "malformed_body"}
 	}
 	if err := control.SetReadDeadline(time.Time{}); err != nil {
-		s.Log.Debug("clearing a read deadline", "error", err)
+		s.Log.Debug("cannot clear the read deadline", "error", err)
 	}
 	r.Outbound.Body, r.Outbound.HasBody = body, true
 	return nil
 }
 
-// dispatch takes the request to an upstream and logs what became of it.
+// dispatch sends the request to an upstream, and logs and counts the result.
 func (s *Server) dispatch(w http.ResponseWriter, req *http.Request, r *direct.Request) {
 	sink := &sink{w: w, control: http.NewResponseController(w), writeTime: s.writeTime()}
 	res := s.Dispatcher.Do(req.Context(), r, sink)
-	took := s.Clock.Now().Sub(r.Arrived)
-	s.Scope.Tagged(map[string]string{"kind": string(r.RouteConfig.Kind)}).Timer("request_duration").Record(took)
-	line := []any{
+	duration := s.Clock.Now().Sub(r.Arrived)
+	s.Scope.Tagged(map[string]string{"kind": string(r.RouteConfig.Kind)}).Timer("request_duration").Record(duration)
+	fields := []any{
 		"request", r.ID, "route", r.Route, "revision", r.Revision, "service", r.Service, "team", r.Team,
 		"upstream", res.Upstream, "outcome", res.Outcome, "code", res.Code, "status", res.Status,
 		"runs", res.Runs, "tries", res.Attempts, "events", res.Events,
 		"load", res.Choice.Load, "mean_load", round(res.Choice.MeanLoad), "load_bound", round(res.Choice.LoadBound),
 		"prompt", r.SharedBlockID().String(), "shared_tokens", int(r.SharedTokens()), "cached_tokens", int(res.Choice.CachedTokens),
-		"waited_ms", res.QueueTime.Milliseconds(), "first_ms", res.FirstByte.Milliseconds(), "duration_ms", took.Milliseconds(),
+		"waited_ms", res.QueueTime.Milliseconds(), "first_ms", res.FirstByte.Milliseconds(), "duration_ms", duration.Milliseconds(),
 		"left_ms", r.Deadline.Sub(s.Clock.Now()).Milliseconds(),
 	}
-	if h := res.Choice.CacheOwner; h != nil {
-		line = append(line, "holder", h.ID, "holder_tokens", int(h.CachedTokens), "holder_load", h.Load, "holder_excluded", h.Excluded)
+	if owner := res.Choice.CacheOwner; owner != nil {
+		fields = append(fields, "holder", owner.ID, "holder_tokens", int(owner.CachedTokens), "holder_load", owner.Load,
+			"holder_excluded", owner.Excluded)
 	}
-	s.Log.Info("request", line...)
+	s.Log.Info("request", fields...)
 	switch {
 	case res.Outcome == peer.OutcomeDone:
 	case res.Code == direct.CodeClientGone || res.HeadSent:
-		// The answer cannot become whole, and its end must not look complete.
+		// The response cannot be completed. Aborting keeps it from looking complete.
 		panic(http.ErrAbortHandler)
 	default:
 		s.refuse(w, r, refusalOf(res), res.Outcome)
 	}
 }
 
-// round keeps one decimal for the log.
+// round rounds to one decimal place.
 func round(v float64) float64 { return math.Round(v*10) / 10 }
 
-// refusalOf turns a result into an answer. Statuses that promise that the request did not run are kept for those that
-// did not.
+// refusalOf returns the failure response for a result. A status that implies that the request did not run is used only if
+// it did not.
 func refusalOf(res direct.Result) *refusal {
 	switch {
 	case res.Outcome == peer.OutcomeNotRun:
@@ -180,7 +181,7 @@
 	return &refusal{status: http.StatusBadGateway, code: res.Code}
 }
 
-// failureBody is the body of a failure, the same as on the product's other interfaces.
+// failureBody is the body of a failure response, the same as on the product's other interfaces.
 type failureBody struct {
 	Error failureError `json:"error"`
 }
--- a/router/internal/client/server.go
+++ b/router/internal/client/server.go
@@ -20,31 +20,31 @@
 	"rattantrack.dev/router/internal/direct"
 )
 
-// Dispatcher takes requests to upstreams.
+// Dispatcher sends requests to upstreams and writes their responses to the sink.
 type Dispatcher interface {
 	Do(ctx context.Context, r *direct.Request, sink direct.Sink) direct.Result
 }
 
-// Dialect reads what clients say and writes what they are told.
+// Dialect reads the header fields of requests and formats those of failures.
 type Dialect interface {
 	ReadRequest(h http.Header) (call.Request, error)
 	RetryAfter(d time.Duration) string
 	Challenge() string
 }
 
-// Clock gives the present instant.
+// Clock returns the current instant.
 type Clock interface {
 	Now() clock.Instant
 }
 
-// Server is the HTTP service for clients.
+// Server is the HTTP server for clients.
 type Server struct {
 	Address string
-	// NoticeTime is how long a stopping server still takes connections, so that the balancer can see it leave.
+	// NoticeTime is how long a stopping server still accepts connections, so that the load balancer notices the stop.
 	NoticeTime time.Duration
-	// DrainTime is how long open requests may take after that.
+	// DrainTime is how long open requests may take after NoticeTime.
 	DrainTime time.Duration
-	// WriteTime is how long a client may leave an answer unread; 0 stands for 10 s.
+	// WriteTime bounds each write of a response to a client that does not read; 0 means 10 s.
 	WriteTime  time.Duration
 	Dispatcher Dispatcher
 	Dialect    Dialect
@@ -52,57 +52,57 @@
 	Log        *log.Logger
 	Scope      tally.Scope
 
-	table   atomic.Pointer[routing.Table]
-	known   chan struct{}
-	prepare sync.Once
-	first   sync.Once
-	leaving atomic.Bool
-	open    atomic.Int64
+	table          atomic.Pointer[routing.Table]
+	firstTableDone chan struct{}
+	firstTableInit sync.Once
+	firstTableOnce sync.Once
+	stopping       atomic.Bool
+	openRequests   atomic.Int64
 }
 
 // String returns the service's name.
 func (s *Server) String() string { return "client" }
 
-// SetTable puts a version of the declarations in force.
+// SetTable replaces the routing table of the declarations in force.
 func (s *Server) SetTable(t *routing.Table) {
 	s.table.Store(t)
-	s.first.Do(func() { close(s.declared()) })
+	s.firstTableOnce.Do(func() { close(s.tableSet()) })
 }
 
-// declared is closed when the first declarations are in force.
-func (s *Server) declared() chan struct{} {
-	s.prepare.Do(func() { s.known = make(chan struct{}) })
-	return s.known
+// tableSet returns a channel that is closed when the first declarations are in force.
+func (s *Server) tableSet() chan struct{} {
+	s.firstTableInit.Do(func() { s.firstTableDone = make(chan struct{}) })
+	return s.firstTableDone
 }
 
 func (s *Server) writeTime() time.Duration { return cmp.Or(s.WriteTime, defaultWriteTime) }
 
-// startWait is how long a request waits at a router that has just started: the declarations arrive within a few hundred
-// milliseconds where the directory or another router can be reached, sooner than a refused client would come back.
-const startWait = 400 * time.Millisecond
+// firstTableWait is how long a request waits for the first declarations after a start. They arrive within a few hundred
+// milliseconds if the directory or another router is reachable, sooner than a refused client would retry.
+const firstTableWait = 400 * time.Millisecond
 
-// await returns the declarations in force, nil where there are none in time.
-func (s *Server) await(ctx context.Context) *routing.Table {
+// waitForTable returns the routing table in force, or nil if none arrives within firstTableWait.
+func (s *Server) waitForTable(ctx context.Context) *routing.Table {
 	if t := s.table.Load(); t != nil {
 		return t
 	}
-	timer := time.NewTimer(startWait)
+	timer := time.NewTimer(firstTableWait)
 	defer timer.Stop()
 	select {
-	case <-s.declared():
+	case <-s.tableSet():
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return s.table.Load()
 }
 
-// Stopping reports whether the server is about to stop.
-func (s *Server) Stopping() bool { return s.leaving.Load() }
+// Stopping reports whether the server has begun to stop.
+func (s *Server) Stopping() bool { return s.stopping.Load() }
 
 // HasDeclarations reports whether declarations are in force.
 func (s *Server) HasDeclarations() bool { return s.table.Load() != nil }
 
-// Run serves until ctx ends, lets the balancer see it leave, and then lets open requests end.
+// Run serves until ctx ends, keeps serving for NoticeTime, and then waits up to DrainTime for open requests.
 func (s *Server) Run(ctx context.Context, ready func()) error {
 	ln, err := net.Listen("tcp", s.Address)
 	if err != nil {
@@ -112,33 +112,33 @@
 		Handler:           s,
 		ReadHeaderTimeout: settings.DefaultHeaderTime,
 		MaxHeaderBytes:    settings.DefaultHeaderBytes,
-		ConnState:         noteState,
+		ConnState:         onConnState,
 	}
 	served := make(chan error, 1)
-	go func() { served <- srv.Serve(&listener{Listener: ln, limit: s.idleTime}) }()
+	go func() { served <- srv.Serve(&idleListener{Listener: ln, idleTime: s.idleTime}) }()
 	ready()
 	select {
 	case err := <-served:
 		return errors.Wrapf(err, "serving on %s", s.Address)
 	case <-ctx.Done():
 	}
-	s.leaving.Store(true)
-	// Idle connections stay open meanwhile, since a client may be sending on one of them at this moment.
+	s.stopping.Store(true)
+	// Idle connections stay open during NoticeTime, since a client may be about to send a request on one of them.
 	time.Sleep(s.NoticeTime)
 	stopCtx, cancel := context.WithTimeout(context.Background(), s.DrainTime)
 	defer cancel()
 	if err := srv.Shutdown(stopCtx); err != nil {
-		s.Log.Warn("requests cut by the stop", "open", s.open.Load(), "error", err)
+		s.Log.Warn("requests cut by the stop", "open", s.openRequests.Load(), "error", err)
 		_ = srv.Close()
 	}
 	<-served
 	return nil
 }
 
-// idleFactor lengthens the declared idle time, since a client counts from when it read the last answer.
+// idleFactor lengthens the declared idle time, since a client counts from when it read the last response.
 const idleFactor = 1.2
 
-// idleTime is how long an unused connection of a client is kept.
+// idleTime returns how long an idle client connection is kept.
 func (s *Server) idleTime() time.Duration {
 	t := s.table.Load()
 	if t == nil {
@@ -147,7 +147,7 @@
 	return time.Duration(idleFactor * float64(t.Limits.IdleTime))
 }
 
-// Status is what the server shows of itself.
+// Status is the server's state in a dump.
 type Status struct {
 	Leaving  bool              `json:"leaving"`
 	Open     int64             `json:"open_requests"`
@@ -156,7 +156,7 @@
 
 // Dump returns the server's state.
 func (s *Server) Dump() any {
-	status := Status{Leaving: s.Stopping(), Open: s.open.Load()}
+	status := Status{Leaving: s.Stopping(), Open: s.openRequests.Load()}
 	if t := s.table.Load(); t != nil {
 		status.Revision = t.Revision
 	}
--- a/router/internal/client/server_test.go
+++ b/router/internal/client/server_test.go
@@ -22,14 +22,14 @@
 	"rattantrack.dev/router/internal/direct"
 )
 
-// plainDialect reads requests without header fields of their own.
+// plainDialect ignores the header fields of requests.
 type plainDialect struct{}
 
 func (plainDialect) ReadRequest(http.Header) (call.Request, error) { return call.Request{ID: "1"}, nil }
 func (plainDialect) RetryAfter(d time.Duration) string             { return d.String() }
 func (plainDialect) Challenge() string                             { return "Key" }
 
-// slowDispatcher answers after a while, or as told.
+// slowDispatcher responds after a delay, with the given result if there is one.
 type slowDispatcher struct {
 	delay  time.Duration
 	result direct.Result
@@ -51,7 +51,7 @@
 	return direct.Result{Outcome: peer.OutcomeDone}
 }
 
-// startServer serves one public route with the given idle time; stop ends the server and waits for it.
+// startServer starts a server with one public route and the given idle time; stop stops it and waits for its end.
 func startServer(t *testing.T, d Dispatcher, idle time.Duration) (s *Server, stop func()) {
 	t.Helper()
 	c := qt.New(t)
@@ -91,8 +91,8 @@
 	return s, stop
 }
 
-// keep opens a connection that the test keeps between requests.
-func keep(t *testing.T, s *Server) (net.Conn, *bufio.Reader) {
+// dial opens a connection that the test uses for several requests.
+func dial(t *testing.T, s *Server) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn, err := net.Dial("tcp", s.Address)
 	qt.New(t).Assert(err, qt.IsNil)
@@ -100,7 +100,7 @@
 	return conn, bufio.NewReader(conn)
 }
 
-// roundTrip sends one short request on a kept connection and returns the status of the answer.
+// roundTrip sends one short request on the connection and returns the status of the response.
 func roundTrip(conn net.Conn, r *bufio.Reader, path string) (int, error) {
 	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: desk.example\r\n\r\n", path); err != nil {
 		return 0, err
@@ -113,13 +113,13 @@
 	return res.StatusCode, err
 }
 
-// TestKeptConnectionIsNotIdleWhileItServes replays a short request on a kept connection that takes longer than the idle
-// time: the answer must arrive, although the standard library still reports the connection as idle.
-func TestKeptConnectionIsNotIdleWhileItServes(t *testing.T) {
+// TestReusedConnectionIsNotIdleWhileServing guards against closing a reused connection during a request that takes longer
+// than the idle time. net/http still reports the connection as idle then.
+func TestReusedConnectionIsNotIdleWhileServing(t *testing.T) {
 	c := qt.New(t)
 	const idle = 300 * time.Millisecond
 	s, _ := startServer(t, &slowDispatcher{delay: 2 * idle}, idle)
-	conn, r := keep(t, s)
+	conn, r := dial(t, s)
 	for range 3 {
 		status, err := roundTrip(conn, r, "/a/x")
 		c.Assert(err, qt.IsNil)
@@ -127,15 +127,15 @@
 	}
 }
 
-// TestStopLetsARequestOnAKeptConnectionEnd replays a stop while a kept connection serves its second request.
-func TestStopLetsARequestOnAKeptConnectionEnd(t *testing.T) {
+// TestStopCompletesRequestOnReusedConnection stops the server while a reused connection serves its second request.
+func TestStopCompletesRequestOnReusedConnection(t *testing.T) {
 	c := qt.New(t)
 	s, stop := startServer(t, &slowDispatcher{delay: 300 * time.Millisecond}, time.Minute)
-	conn, r := keep(t, s)
+	conn, r := dial(t, s)
 	_, err := roundTrip(conn, r, "/a/x")
 	c.Assert(err, qt.IsNil)
 	go func() {
-		for s.open.Load() == 0 {
+		for s.openRequests.Load() == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		stop()
@@ -148,14 +148,14 @@
 func TestIdleConnectionIsClosed(t *testing.T) {
 	c := qt.New(t)
 	s, _ := startServer(t, &slowDispatcher{}, 50*time.Millisecond)
-	conn, r := keep(t, s)
+	conn, r := dial(t, s)
 	_, err := roundTrip(conn, r, "/a/x")
 	c.Assert(err, qt.IsNil)
 	_, err = r.ReadByte()
 	c.Assert(err, qt.Equals, io.EOF)
 }
 
-func TestRefusalsSayWhatBecameOfTheRequest(t *testing.T) {
+func TestFailureResponses(t *testing.T) {
 	tests := []struct {
 		name   string
 		result direct.Result
@@ -182,12 +182,12 @@
 	}
 }
 
-// TestRefusalOnAConnectionWithAnOldAnswer replays a kept connection whose last answer is older than the time for writes:
-// the refusal must still reach the client.
-func TestRefusalOnAConnectionWithAnOldAnswer(t *testing.T) {
+// TestRefusalAfterExpiredWriteDeadline guards against a refusal lost on a reused connection because the write deadline of
+// the previous response has passed.
+func TestRefusalAfterExpiredWriteDeadline(t *testing.T) {
 	c := qt.New(t)
 	s, _ := startServer(t, &slowDispatcher{}, time.Minute)
-	conn, r := keep(t, s)
+	conn, r := dial(t, s)
 	status, err := roundTrip(conn, r, "/a/x")
 	c.Assert(err, qt.IsNil)
 	c.Assert(status, qt.Equals, http.StatusOK)
@@ -197,13 +197,13 @@
 	c.Assert(status, qt.Equals, http.StatusNotFound)
 }
 
-// TestIdleTimeDoesNotCutARequestThatIsBeingRead replays a request of which a part arrives just before the idle time is
-// over and the rest after it: the server of the standard library counts the connection as idle until the head is whole.
-func TestIdleTimeDoesNotCutARequestThatIsBeingRead(t *testing.T) {
+// TestIdleTimeDoesNotCutPartialRequest guards against closing a connection on which one part of a request arrives before
+// the idle time ends and the rest after it. net/http reports the connection as idle until the head is complete.
+func TestIdleTimeDoesNotCutPartialRequest(t *testing.T) {
 	c := qt.New(t)
 	const idle = 200 * time.Millisecond
 	s, _ := startServer(t, &slowDispatcher{}, idle)
-	conn, r := keep(t, s)
+	conn, r := dial(t, s)
 	_, err := roundTrip(conn, r, "/a/x")
 	c.Assert(err, qt.IsNil)
 	_, err = io.WriteString(conn, "GET /a/x HTTP/1.1\r\n")
@@ -216,12 +216,12 @@
 	c.Assert(res.StatusCode, qt.Equals, http.StatusOK)
 }
 
-// TestIdleTimeThatGrowsHoldsForIdleConnections replays a longer idle time that is declared while a connection is idle.
-func TestIdleTimeThatGrowsHoldsForIdleConnections(t *testing.T) {
+// TestLongerIdleTimeAppliesToIdleConnections declares a longer idle time while a connection is idle.
+func TestLongerIdleTimeAppliesToIdleConnections(t *testing.T) {
 	c := qt.New(t)
 	const idle = 200 * time.Millisecond
 	s, _ := startServer(t, &slowDispatcher{}, idle)
-	conn, r := keep(t, s)
+	conn, r := dial(t, s)
 	_, err := roundTrip(conn, r, "/a/x")
 	c.Assert(err, qt.IsNil)
 	longer := *s.table.Load()
