--- a/router/internal/routers/doc.go
+++ b/router/internal/routers/doc.go
@@ -1,2 +1,2 @@
-// Package routers keeps a router in step with the other routers: open requests, cached prompts, instances and routers.
+// Package routers exchanges state with the other routers: open requests, cache entries, instances and router addresses.
 package routers
--- a/router/internal/routers/service.go
+++ b/router/internal/routers/service.go
@@ -22,70 +22,73 @@
 const (
 	// minInterval is the time between two exchanges with one router in a small fleet.
 	minInterval = 50 * time.Millisecond
-	// perRouter lengthens the interval with the number of routers, so that the exchanges of one router stay below a
-	// hundred a second.
-	perRouter = 12 * time.Millisecond
-	// answerTime is how long an exchange may take; a link that is slower is made anew.
-	answerTime = 700 * time.Millisecond
-	// retryTime is the pause after a failed exchange, startRetryTime the one towards a router that the settings name and
-	// that has not answered yet: routers that start together find each other through it within startTime.
-	retryTime      = 500 * time.Millisecond
-	startRetryTime = 60 * time.Millisecond
-	startTime      = 3 * time.Second
-	// forgetTime is how long a router that does not answer is remembered, unless the settings name it.
+	// intervalPerRouter lengthens the interval with the number of routers, so that a router begins fewer than a hundred
+	// exchanges per second.
+	intervalPerRouter = 12 * time.Millisecond
+	// exchangeTimeout bounds an exchange. A link on which it expires is closed, and the next exchange opens a new one.
+	exchangeTimeout = 700 * time.Millisecond
+	// retryPause is the pause after a failed exchange. startRetryPause applies for startTime after the start, to a router
+	// that the settings name and that has not responded yet: routers that start together find each other through it.
+	retryPause      = 500 * time.Millisecond
+	startRetryPause = 60 * time.Millisecond
+	startTime       = 3 * time.Second
+	// forgetTime is how long a router without contact is kept, unless the settings name it.
 	forgetTime = 30 * time.Second
-	// maxPending bounds the news kept for one router. Above it the instances are told anew as a whole, and the cached
-	// prompts are left out, which are told again at their next use. It holds the inventory of a fleet's engines.
+	// maxPending bounds the updates queued for one router. Above it all instances are sent again and the queued cache
+	// updates are dropped, which are sent again at the next use of their prompts. The cache entries of a fleet's engines
+	// that a warm-up reads stay below it.
 	maxPending = 16_384
-	// backlogTime and maxBacklog bound the news that a router is told that becomes known only later.
+	// backlogTime and maxBacklog bound the recent cache updates that are kept for routers discovered later.
 	backlogTime = 10 * time.Second
 	maxBacklog  = 8192
-	// maxRecent bounds the cached prompts that a router is told that has just started, 9 bytes each.
+	// maxRecent bounds the cache entries sent to a router that has just started, at 9 bytes each.
 	maxRecent = 16_384
 )
 
-// Clock gives the present instant.
+// Clock returns the current instant.
 type Clock interface {
 	Now() clock.Instant
 }
 
-// Dialer gives links to addresses.
+// Dialer returns links to the routers at the given addresses.
 type Dialer interface {
 	Dial(ctx context.Context, address string) (*peer.Link, error)
 	Redial(ctx context.Context, address string, old *peer.Link) (*peer.Link, error)
 }
 
-// router is another router with the news that it has not heard yet.
+// router is another router with the updates that it has not been sent yet.
 type router struct {
 	address     string
 	seed        bool
 	incarnation peer.Incarnation
-	// greeted says that it has got everything once.
-	greeted  bool
-	holdings []affinity.CacheEntry
-	stamps   []clock.Instant
-	members  []members.Change
-	// met is the last exchange that succeeded, heard the last message of the other side.
-	met, heard, since clock.Instant
-	lost              bool
-	running           bool
-	// knows says that the router knows which prompts are cached where.
-	knows bool
-	// informed is when the router has read the directory, failing says that it cannot.
-	informed clock.Instant
-	failing  bool
-	cores    float64
+	// fullStateSent reports that the router has been sent all instances, so that changes are enough.
+	fullStateSent bool
+	cacheUpdates  []affinity.CacheEntry
+	updateTimes   []clock.Instant
+	memberChanges []members.Change
+	// lastExchange is when an exchange from here last succeeded, lastReceived when the router last sent its state. since is
+	// when the router was added or, later, when an exchange last failed.
+	lastExchange, lastReceived, since clock.Instant
+	lost                              bool
+	exchanging                        bool
+	// hasCacheEntries reports that the cache warm-up of the router has ended, so that it can send its cache entries.
+	hasCacheEntries bool
+	// directoryRead is when the router last read the directory, directoryFailing reports that it cannot read it.
+	directoryRead    clock.Instant
+	directoryFailing bool
+	cores            float64
 }
 
-// alive reports whether the router has exchanged states with this one, whichever of the two began, and still does.
-func (r *router) alive() bool { return !r.lost && (r.met != 0 || r.heard != 0) }
+// reachable reports whether the router has exchanged states with this one, whichever of the two began, and the last
+// exchange from here did not fail.
+func (r *router) reachable() bool { return !r.lost && (r.lastExchange != 0 || r.lastReceived != 0) }
 
-// Service exchanges states with every other router.
+// Service exchanges states with all other routers.
 type Service struct {
 	ID          inflight.RouterID
 	Address     string
 	Incarnation peer.Incarnation
-	// Cores is the processor that the VM gives this router, in cores; 0 where it is not known.
+	// Cores is the number of processor cores that the VM gives this router, 0 if unknown.
 	Cores        float64
 	Seeds        []string
 	Dialer       Dialer
@@ -96,29 +99,29 @@
 	Clock        Clock
 	Log          *log.Logger
 	Scope        tally.Scope
-	// HasCacheEntries reports whether this router knows which prompts are cached where.
+	// HasCacheEntries reports whether the cache warm-up of this router has ended, so that it can send its cache entries.
 	HasCacheEntries func() bool
-	// DirectoryState returns how long ago this router has read the directory, and whether it cannot.
+	// DirectoryState returns how long ago this router read the directory, and whether it cannot read it.
 	DirectoryState func() (age time.Duration, failing bool)
-	// CacheQueried returns the upstreams whose cached prompts this router has just asked for.
+	// CacheQueried returns the upstreams whose caches this router has queried recently.
 	CacheQueried func() []settings.UpstreamID
-	// OnEvents hears of what another router's news changed.
+	// OnEvents is called with the instance events that another router's state caused here.
 	OnEvents func(source string, events []members.Event)
 
 	started clock.Instant
 	mu      sync.Mutex
 	routers map[string]*router
 	wg      sync.WaitGroup
-	// backlog is the latest news of cached prompts from here, with the times of their use.
-	backlog []affinity.CacheEntry
-	stamps  []clock.Instant
-	// learnt says that a router that knows the cached prompts has told them all.
-	learnt bool
-	// wanting says that an exchange is open that asks for all cached prompts: one answer is enough, and each holds
-	// thousands of entries.
-	wanting bool
-	// inventoried are the upstreams whose cached prompts others have asked for.
-	inventoried map[settings.UpstreamID]bool
+	// backlog holds the latest cache updates of this router, backlogTimes when each was added.
+	backlog      []affinity.CacheEntry
+	backlogTimes []clock.Instant
+	// cacheEntriesReceived reports that another router has sent its cache entries.
+	cacheEntriesReceived bool
+	// requestingEntries reports that an open exchange requests the other router's cache entries. One response is enough, and
+	// each holds thousands of entries.
+	requestingEntries bool
+	// queriedByOthers holds the upstreams whose caches other routers have queried.
+	queriedByOthers map[settings.UpstreamID]bool
 }
 
 // String returns the service's name.
@@ -133,7 +136,7 @@
 	defer t.Stop()
 	defer s.wg.Wait()
 	for {
-		s.startAll(ctx)
+		s.startDue(ctx)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -150,55 +153,55 @@
 		r.seed = slices.Contains(addresses, r.address)
 	}
 	for _, address := range addresses {
-		s.add(address).seed = true
+		s.routerAt(address).seed = true
 	}
 }
 
-// add returns the router at an address; the caller holds the lock.
-func (s *Service) add(address string) *router {
+// routerAt returns the router at an address and adds it if it is new. The caller holds the lock.
+func (s *Service) routerAt(address string) *router {
 	if s.routers == nil {
 		s.routers = make(map[string]*router)
 	}
 	r := s.routers[address]
 	if r == nil {
 		r = &router{address: address, since: s.Clock.Now()}
-		r.holdings, r.stamps = slices.Clone(s.backlog), slices.Clone(s.stamps)
+		r.cacheUpdates, r.updateTimes = slices.Clone(s.backlog), slices.Clone(s.backlogTimes)
 		s.routers[address] = r
 	}
 	return r
 }
 
-// interval is the time between two exchanges with one router.
+// interval returns the time between two exchanges with one router. The caller holds the lock.
 func (s *Service) interval() time.Duration {
-	return max(minInterval, time.Duration(len(s.routers))*perRouter)
+	return max(minInterval, time.Duration(len(s.routers))*intervalPerRouter)
 }
 
-// startAll begins the exchanges that are due, each beside the others.
-func (s *Service) startAll(ctx context.Context) {
-	s.spreadHoldings()
+// startDue starts the exchanges that are due, each in its own goroutine.
+func (s *Service) startDue(ctx context.Context) {
+	s.queueCacheUpdates()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Clock.Now()
 	interval := s.interval()
 	for address, r := range s.routers {
-		if address == s.Address || r.running {
+		if address == s.Address || r.exchanging {
 			continue
 		}
-		if !r.seed && now.Sub(max(r.met, r.heard, r.since)) > forgetTime {
+		if !r.seed && now.Sub(max(r.lastExchange, r.lastReceived, r.since)) > forgetTime {
 			delete(s.routers, address)
 			continue
 		}
-		due := max(r.met, r.heard).Add(interval)
+		due := max(r.lastExchange, r.lastReceived).Add(interval)
 		switch {
 		case r.lost:
 			due = r.since.Add(s.retryAfter(r, now))
-		case s.wants(r):
+		case s.needsEntries(r):
 			due = now
 		}
 		if now.Before(due) {
 			continue
 		}
-		r.running = true
+		r.exchanging = true
 		s.wg.Add(1)
 		go func() {
 			defer s.wg.Done()
@@ -207,116 +210,118 @@
 	}
 }
 
-// retryAfter is the pause after a failed exchange with a router.
+// retryAfter returns the pause after a failed exchange with a router.
 func (s *Service) retryAfter(r *router, now clock.Instant) time.Duration {
-	if r.seed && r.met == 0 && now.Sub(s.started) < startTime {
-		return startRetryTime
+	if r.seed && r.lastExchange == 0 && now.Sub(s.started) < startTime {
+		return startRetryPause
 	}
-	return retryTime
+	return retryPause
 }
 
-// exchange tells one router the state here and takes in its own.
+// exchange sends the state of this router to another one and merges the state in its response.
 func (s *Service) exchange(ctx context.Context, r *router) {
-	ctx, cancel := context.WithTimeout(ctx, answerTime)
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	state := s.state(r, true, false)
-	if state.WantsCacheEntries = s.beginWanting(r); state.WantsCacheEntries {
-		defer s.endWanting()
+	if state.WantsCacheEntries = s.beginEntriesRequest(r); state.WantsCacheEntries {
+		defer s.endEntriesRequest()
 	}
-	answer, err := s.ask(ctx, r.address, state)
+	response, err := s.request(ctx, r.address, state)
 	now := s.Clock.Now()
 	s.mu.Lock()
-	r.running = false
+	r.exchanging = false
 	if err != nil {
-		s.requeue(r, state, now)
+		s.recordFailure(r, state, now)
 		s.mu.Unlock()
 		return
 	}
-	r.greeted = true
-	s.meet(r, now)
+	r.fullStateSent = true
+	s.recordSuccess(r, now)
 	s.mu.Unlock()
-	s.learn(answer)
-	if state.WantsCacheEntries && answer.HasCacheEntries {
-		s.setLearnt()
+	s.merge(response)
+	if state.WantsCacheEntries && response.HasCacheEntries {
+		s.setCacheEntriesReceived()
 	}
 }
 
-// wants reports whether this router should ask another one for all cached prompts; the caller holds the lock.
-func (s *Service) wants(r *router) bool {
-	return r.knows && !s.wanting && !s.learnt && !s.HasCacheEntries()
+// needsEntries reports whether this router should request the cache entries of another one. The caller holds the lock.
+func (s *Service) needsEntries(r *router) bool {
+	return r.hasCacheEntries && !s.requestingEntries && !s.cacheEntriesReceived && !s.HasCacheEntries()
 }
 
-// beginWanting reports whether an exchange that begins now should ask for all cached prompts.
-func (s *Service) beginWanting(r *router) bool {
+// beginEntriesRequest reports whether an exchange that begins now should request the cache entries of the router, and marks
+// the request as open.
+func (s *Service) beginEntriesRequest(r *router) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.wants(r) {
+	if !s.needsEntries(r) {
 		return false
 	}
-	s.wanting = true
+	s.requestingEntries = true
 	return true
 }
 
-func (s *Service) endWanting() {
+func (s *Service) endEntriesRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wanting = false
+	s.requestingEntries = false
 }
 
-func (s *Service) setLearnt() {
+func (s *Service) setCacheEntriesReceived() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.learnt = true
+	s.cacheEntriesReceived = true
 }
 
-func (s *Service) ask(ctx context.Context, address string, state *peer.RouterState) (*peer.RouterState, error) {
-	l, err := s.Dialer.Dial(ctx, address)
+func (s *Service) request(ctx context.Context, address string, state *peer.RouterState) (*peer.RouterState, error) {
+	link, err := s.Dialer.Dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	answer, err := peer.Ask[*peer.RouterState](ctx, l, state, answerTime)
+	response, err := peer.Ask[*peer.RouterState](ctx, link, state, exchangeTimeout)
 	if err != nil {
-		// The link may have lost its path without an end; the next exchange makes a new one.
-		l.Close(err)
+		// The path may be broken although the link is still open, so the next exchange opens a new link.
+		link.Close(err)
 	}
-	return answer, err
+	return response, err
 }
 
-// meet notes an exchange that succeeded; the caller holds the lock.
-func (s *Service) meet(r *router, now clock.Instant) {
-	if r.lost || r.met == 0 {
+// recordSuccess records a successful exchange. The caller holds the lock.
+func (s *Service) recordSuccess(r *router, now clock.Instant) {
+	if r.lost || r.lastExchange == 0 {
 		s.Log.Info("router met", "router", r.address, "lost", r.lost)
 	}
-	r.met, r.lost = now, false
+	r.lastExchange, r.lost = now, false
 }
 
-// requeue keeps the news of a failed exchange for the next one; the caller holds the lock.
-func (s *Service) requeue(r *router, state *peer.RouterState, now clock.Instant) {
+// recordFailure records a failed exchange. The caller holds the lock.
+func (s *Service) recordFailure(r *router, state *peer.RouterState, now clock.Instant) {
 	if !r.lost {
 		s.Log.Warn("router lost", "router", r.address)
 		s.Scope.Counter("routers_lost").Inc(1)
 	}
 	r.lost, r.since = true, now
-	// The router may have taken in a part of the changes, so it gets all instances once more.
-	r.greeted = false
+	// The router may have applied only a part of the changes, so it is sent all instances again. The cache updates of this
+	// exchange are not queued again.
+	r.fullStateSent = false
 }
 
-// Serve answers another router's state; it reports false for messages of other services.
+// Serve merges another router's state and responds with the state here. It returns false for other kinds of messages.
 func (s *Service) Serve(ctx context.Context, st *peer.Stream, m peer.Message) bool {
-	v, ok := m.(*peer.RouterState)
+	state, ok := m.(*peer.RouterState)
 	if !ok {
 		return false
 	}
 	s.mu.Lock()
-	r := s.add(v.Address)
-	if r.incarnation != v.Incarnation {
-		r.incarnation, r.greeted = v.Incarnation, false
+	r := s.routerAt(state.Address)
+	if r.incarnation != state.Incarnation {
+		r.incarnation, r.fullStateSent = state.Incarnation, false
 	}
-	r.heard = s.Clock.Now()
+	r.lastReceived = s.Clock.Now()
 	s.mu.Unlock()
-	s.learn(v)
-	if err := st.Send(ctx, s.state(r, false, v.WantsCacheEntries && s.HasCacheEntries())); err != nil {
-		s.Log.Debug("answering a router", "router", v.Router, "error", err)
+	s.merge(state)
+	if err := st.Send(ctx, s.state(r, false, state.WantsCacheEntries && s.HasCacheEntries())); err != nil {
+		s.Log.Debug("cannot send the state to a router", "router", state.Router, "error", err)
 	}
 	return true
 }
--- a/router/internal/routers/service_test.go
+++ b/router/internal/routers/service_test.go
@@ -27,18 +27,18 @@
 type node struct {
 	service  *Service
 	endpoint *peer.Endpoint
-	ledger   *inflight.Tracker
+	inFlight *inflight.Tracker
 	affinity *affinity.Index
 	members  *members.Registry
 	stop     func()
 }
 
-// Serve gives messages to the service.
+// Serve passes messages to the service.
 func (n *node) Serve(ctx context.Context, st *peer.Stream, m peer.Message) {
 	n.service.Serve(ctx, st, m)
 }
 
-// startNodes starts n routers of which the settings name the first only.
+// startNodes starts n routers whose settings name only the first one.
 func startNodes(t *testing.T, n int) []*node {
 	t.Helper()
 	c := qt.New(t)
@@ -51,7 +51,7 @@
 		if seed == "" {
 			seed = address
 		}
-		one := &node{ledger: &inflight.Tracker{}, affinity: &affinity.Index{}, members: &members.Registry{}}
+		one := &node{inFlight: &inflight.Tracker{}, affinity: &affinity.Index{}, members: &members.Registry{}}
 		id := fmt.Sprintf("router-%d", i)
 		allow, err := peer.ParseNetworks([]string{"127.0.0.0/8"})
 		c.Assert(err, qt.IsNil)
@@ -62,7 +62,8 @@
 		}
 		one.service = &Service{
 			ID: inflight.RouterID(id), Address: address, Cores: float64(i + 1), Incarnation: peer.Incarnation(id), Seeds: []string{seed},
-			Dialer: one.endpoint, InFlight: one.ledger, Unresponsive: &unresponsive.Detector{}, Affinity: one.affinity, Members: one.members, Clock: clock.Boot{},
+			Dialer: one.endpoint, InFlight: one.inFlight, Unresponsive: &unresponsive.Detector{}, Affinity: one.affinity,
+			Members: one.members, Clock: clock.Boot{},
 			Log: log.New(io.Discard), Scope: tally.NoopScope, HasCacheEntries: func() bool { return true },
 			DirectoryState: func() (time.Duration, bool) { return 0, false },
 			CacheQueried:   func() []settings.UpstreamID { return nil },
@@ -91,7 +92,7 @@
 	return nodes
 }
 
-// eventually waits until ok holds; the time is long enough for a busy machine.
+// eventually waits until ok returns true. The limit of 10 s allows for a busy machine.
 func eventually(t *testing.T, ok func() bool) {
 	t.Helper()
 	for range 1000 {
@@ -100,25 +101,25 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the condition did not come about")
+	t.Fatal("condition not met in time")
 }
 
-// TestEveryRouterLearnsOfEveryOther replays a fleet that knows one router by its settings: all must see the requests of
-// all, or the load bound would be judged by a part of the load.
-func TestEveryRouterLearnsOfEveryOther(t *testing.T) {
+// TestAllRoutersShareOpenRequests starts a fleet whose settings name one router. Each router must count the open requests
+// of all, or the load bound would be derived from a part of the load.
+func TestAllRoutersShareOpenRequests(t *testing.T) {
 	nodes := startNodes(t, 5)
 	for _, n := range nodes {
-		n.ledger.Begin("engine-1")
+		n.inFlight.Begin("engine-1")
 	}
 	eventually(t, func() bool {
 		return !slices.ContainsFunc(nodes, func(n *node) bool {
-			return n.ledger.Loads(clock.Boot{}.Now(), []settings.UpstreamID{"engine-1"})[0] != len(nodes)
+			return n.inFlight.Loads(clock.Boot{}.Now(), []settings.UpstreamID{"engine-1"})[0] != len(nodes)
 		})
 	})
 }
 
-// TestRoutersTellTheirCores replays a fleet of VMs of several sizes, among which the readers of the directory are chosen.
-func TestRoutersTellTheirCores(t *testing.T) {
+// TestRoutersReportCores starts routers with different numbers of cores, by which the pollers of the directory are chosen.
+func TestRoutersReportCores(t *testing.T) {
 	nodes := startNodes(t, 3)
 	eventually(t, func() bool {
 		cores := 0.0
@@ -129,7 +130,7 @@
 	})
 }
 
-func TestCachedPromptsAndInstancesAreTold(t *testing.T) {
+func TestCacheEntriesAndInstancesAreExchanged(t *testing.T) {
 	nodes := startNodes(t, 3)
 	parts := []call.PromptBlock{{ID: 9, Tokens: 1000}}
 	nodes[1].affinity.RecordUse(clock.Boot{}.Now(), parts, "engine-1")
@@ -144,22 +145,23 @@
 	})
 }
 
-// told returns the holdings in a state.
-func told(c *qt.C, state *peer.RouterState) []affinity.CacheEntry {
+// cacheEntries returns the cache entries in a state.
+func cacheEntries(c *qt.C, state *peer.RouterState) []affinity.CacheEntry {
 	list, err := affinity.Unpack(state.CacheEntries)
 	c.Assert(err, qt.IsNil)
 	return list
 }
 
-// TestOnlyARouterThatStartsIsToldAllPrompts replays a fleet in which one router starts: it gets every cached prompt with
-// an answer, and one that knows them already gets the news only. Otherwise each start costs the whole directory once for
-// every pair of routers.
-func TestOnlyARouterThatStartsIsToldAllPrompts(t *testing.T) {
+// TestAllCacheEntriesAreSentOnRequestOnly guards against sending the complete cache index in every exchange: a starting
+// router gets it in one response, all others get updates. Otherwise each start costs one copy per pair of routers.
+func TestAllCacheEntriesAreSentOnRequestOnly(t *testing.T) {
 	c := qt.New(t)
 	s := &Service{
-		ID: "a", Address: "127.0.0.1:1", InFlight: &inflight.Tracker{}, Unresponsive: &unresponsive.Detector{}, Affinity: &affinity.Index{}, Members: &members.Registry{},
-		Clock: clock.Boot{}, HasCacheEntries: func() bool { return true }, DirectoryState: func() (time.Duration, bool) { return 0, false },
-		CacheQueried: func() []settings.UpstreamID { return nil },
+		ID: "a", Address: "127.0.0.1:1", InFlight: &inflight.Tracker{}, Unresponsive: &unresponsive.Detector{},
+		Affinity: &affinity.Index{}, Members: &members.Registry{}, Clock: clock.Boot{},
+		HasCacheEntries: func() bool { return true },
+		DirectoryState:  func() (time.Duration, bool) { return 0, false },
+		CacheQueried:    func() []settings.UpstreamID { return nil },
 	}
 	now := clock.Boot{}.Now()
 	for i := range 100 {
@@ -167,42 +169,44 @@
 	}
 	s.Affinity.TakeUpdates(now)
 	s.mu.Lock()
-	r := s.add("127.0.0.1:2")
+	r := s.routerAt("127.0.0.1:2")
 	s.mu.Unlock()
-	c.Assert(told(c, s.state(r, false, true)), qt.HasLen, 100)
-	c.Assert(told(c, s.state(r, false, false)), qt.HasLen, 0)
-	c.Assert(told(c, s.state(r, true, false)), qt.HasLen, 0)
+	c.Assert(cacheEntries(c, s.state(r, false, true)), qt.HasLen, 100)
+	c.Assert(cacheEntries(c, s.state(r, false, false)), qt.HasLen, 0)
+	c.Assert(cacheEntries(c, s.state(r, true, false)), qt.HasLen, 0)
 }
 
-// TestRouterThatBecomesKnownLaterHearsTheLatestNews replays two routers that start at the same time: a prompt that one of
-// them has placed before it knew the other is news to it all the same.
-func TestRouterThatBecomesKnownLaterHearsTheLatestNews(t *testing.T) {
+// TestRouterDiscoveredLaterGetsBacklog covers two routers that start at the same time: a router must send the cache entries
+// that it recorded before it discovered the other one.
+func TestRouterDiscoveredLaterGetsBacklog(t *testing.T) {
 	c := qt.New(t)
 	s := &Service{
-		ID: "a", Address: "127.0.0.1:1", InFlight: &inflight.Tracker{}, Unresponsive: &unresponsive.Detector{}, Affinity: &affinity.Index{}, Members: &members.Registry{},
-		Clock: clock.Boot{}, HasCacheEntries: func() bool { return true }, DirectoryState: func() (time.Duration, bool) { return 0, false },
-		CacheQueried: func() []settings.UpstreamID { return nil },
+		ID: "a", Address: "127.0.0.1:1", InFlight: &inflight.Tracker{}, Unresponsive: &unresponsive.Detector{},
+		Affinity: &affinity.Index{}, Members: &members.Registry{}, Clock: clock.Boot{},
+		HasCacheEntries: func() bool { return true },
+		DirectoryState:  func() (time.Duration, bool) { return 0, false },
+		CacheQueried:    func() []settings.UpstreamID { return nil },
 	}
 	s.Affinity.RecordUse(clock.Boot{}.Now(), []call.PromptBlock{{ID: 9, Tokens: 10}}, "engine-1")
-	s.spreadHoldings()
+	s.queueCacheUpdates()
 	s.mu.Lock()
-	r := s.add("127.0.0.1:2")
+	r := s.routerAt("127.0.0.1:2")
 	s.mu.Unlock()
-	c.Assert(told(c, s.state(r, true, false)), qt.HasLen, 1)
-	c.Assert(told(c, s.state(r, true, false)), qt.HasLen, 0)
+	c.Assert(cacheEntries(c, s.state(r, true, false)), qt.HasLen, 1)
+	c.Assert(cacheEntries(c, s.state(r, true, false)), qt.HasLen, 0)
 }
 
-// TestOneExchangeAtATimeWantsAllPrompts replays a router that starts in a large fleet and begins an exchange with every
+// TestOneExchangeAtATimeRequestsAllEntries covers a router that starts in a large fleet and begins an exchange with every
 // other router at once.
-func TestOneExchangeAtATimeWantsAllPrompts(t *testing.T) {
+func TestOneExchangeAtATimeRequestsAllEntries(t *testing.T) {
 	c := qt.New(t)
 	s := &Service{HasCacheEntries: func() bool { return false }}
-	c.Assert(s.beginWanting(&router{}), qt.IsFalse, qt.Commentf("a router that knows no prompts is not asked"))
-	r := &router{knows: true}
-	c.Assert(s.beginWanting(r), qt.IsTrue)
-	c.Assert(s.beginWanting(r), qt.IsFalse)
-	s.wanting = false
-	c.Assert(s.beginWanting(r), qt.IsTrue)
-	s.wanting, s.learnt = false, true
-	c.Assert(s.beginWanting(r), qt.IsFalse)
+	c.Assert(s.beginEntriesRequest(&router{}), qt.IsFalse, qt.Commentf("a router without cache entries gets no request"))
+	r := &router{hasCacheEntries: true}
+	c.Assert(s.beginEntriesRequest(r), qt.IsTrue)
+	c.Assert(s.beginEntriesRequest(r), qt.IsFalse)
+	s.requestingEntries = false
+	c.Assert(s.beginEntriesRequest(r), qt.IsTrue)
+	s.requestingEntries, s.cacheEntriesReceived = false, true
+	c.Assert(s.beginEntriesRequest(r), qt.IsFalse)
 }
--- /dev/null
+++ b/router/internal/routers/state.go
@@ -0,0 +1,144 @@
+package routers
+
+import (
+	"slices"
+
+	"rattantrack.dev/core/affinity"
+	"rattantrack.dev/core/clock"
+	"rattantrack.dev/core/members"
+	"rattantrack.dev/core/peer"
+	"rattantrack.dev/core/settings"
+)
+
+// queueCacheUpdates queues the new cache entries of this router for every other router.
+func (s *Service) queueCacheUpdates() {
+	now := s.Clock.Now()
+	updates := s.Affinity.TakeUpdates(now)
+	if len(updates) == 0 {
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.addBacklog(now, updates)
+	for _, r := range s.routers {
+		for _, update := range updates {
+			r.cacheUpdates = append(r.cacheUpdates, update)
+			r.updateTimes = append(r.updateTimes, now)
+		}
+		if len(r.cacheUpdates) > maxPending {
+			r.cacheUpdates, r.updateTimes = nil, nil
+		}
+	}
+}
+
+// addBacklog adds updates to the backlog and drops those above its bounds. The caller holds the lock.
+func (s *Service) addBacklog(now clock.Instant, updates []affinity.CacheEntry) {
+	for _, update := range updates {
+		s.backlog = append(s.backlog, update)
+		s.backlogTimes = append(s.backlogTimes, now)
+	}
+	drop := max(0, len(s.backlog)-maxBacklog)
+	for drop < len(s.backlogTimes) && now.Sub(s.backlogTimes[drop]) > backlogTime {
+		drop++
+	}
+	s.backlog = slices.Delete(s.backlog, 0, drop)
+	s.backlogTimes = slices.Delete(s.backlogTimes, 0, drop)
+}
+
+// Broadcast queues instance changes for every other router.
+func (s *Service) Broadcast(changes []members.Change) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, r := range s.routers {
+		r.memberChanges = append(r.memberChanges, changes...)
+		if len(r.memberChanges) > maxPending {
+			r.memberChanges, r.fullStateSent = nil, false
+		}
+	}
+}
+
+// state returns the state to send to another router, with the cache updates queued for it or, if allEntries is set, the
+// recent cache entries.
+func (s *Service) state(r *router, initiating, allEntries bool) *peer.RouterState {
+	now := s.Clock.Now()
+	state := &peer.RouterState{
+		Router: s.ID, Address: s.Address, Incarnation: s.Incarnation, Cores: s.Cores, Open: s.InFlight.Local(),
+		Responsiveness: s.Unresponsive.Local(now), HasCacheEntries: s.HasCacheEntries(),
+	}
+	state.CacheQueried = s.CacheQueried()
+	// The age is read before the changes, so that it never covers changes that are not in this state.
+	state.DirectoryAge, state.DirectoryFailing = s.DirectoryState()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for address, other := range s.routers {
+		if address != r.address && other.reachable() {
+			state.Routers = append(state.Routers, address)
+		}
+	}
+	if !r.fullStateSent {
+		state.MembersComplete = s.Members.Complete()
+		state.Members = s.Members.Snapshot()
+		r.fullStateSent = !initiating
+	} else {
+		state.Members = r.memberChanges
+	}
+	entries := r.cacheUpdates
+	for i := range entries {
+		entries[i].Age += now.Sub(r.updateTimes[i])
+	}
+	if allEntries {
+		entries = s.Affinity.Recent(now, maxRecent)
+	}
+	state.CacheEntries = affinity.Pack(entries)
+	r.memberChanges, r.cacheUpdates, r.updateTimes = nil, nil, nil
+	return state
+}
+
+// merge applies another router's state.
+func (s *Service) merge(state *peer.RouterState) {
+	now := s.Clock.Now()
+	s.InFlight.Report(now, state.Router, state.Open)
+	s.Unresponsive.Report(now, state.Router, state.Open, state.Responsiveness)
+	entries, err := affinity.Unpack(state.CacheEntries)
+	if err != nil {
+		s.Log.Warn("cannot decode the cache entries of a router", "router", state.Router, "error", err)
+	}
+	s.Affinity.Merge(now, entries)
+	events := s.Members.ApplyRelayed(now, state.Members)
+	if state.MembersComplete && !s.Members.Complete() {
+		s.Members.MarkComplete()
+		s.Log.Info("instances received from a router", "router", state.Router, "instances", len(state.Members))
+	}
+	if len(events) > 0 {
+		s.OnEvents(string(state.Router), events)
+		s.Broadcast(effective(state.Members, events))
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, id := range state.CacheQueried {
+		if s.queriedByOthers == nil {
+			s.queriedByOthers = make(map[settings.UpstreamID]bool)
+		}
+		s.queriedByOthers[id] = true
+	}
+	sender := s.routerAt(state.Address)
+	sender.cores = state.Cores
+	sender.directoryFailing, sender.hasCacheEntries = state.DirectoryFailing, state.HasCacheEntries
+	sender.directoryRead = max(sender.directoryRead, now.Add(-state.DirectoryAge))
+	for _, address := range state.Routers {
+		if address != s.Address {
+			s.routerAt(address)
+		}
+	}
+}
+
+// effective returns the changes that caused events here; other routers may lack them too.
+func effective(changes []members.Change, events []members.Event) []members.Change {
+	var list []members.Change
+	for _, c := range changes {
+		if slices.ContainsFunc(events, func(e members.Event) bool { return e.ID == c.ID }) {
+			list = append(list, c)
+		}
+	}
+	return list
+}
--- a/router/internal/routers/view.go
+++ b/router/internal/routers/view.go
@@ -19,58 +19,58 @@
 	return list
 }
 
-// Reachable returns the addresses of the other routers that answered last.
+// Reachable returns the addresses of the reachable routers.
 func (s *Service) Reachable() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []string
 	for address, r := range s.routers {
-		if address != s.Address && r.alive() {
+		if address != s.Address && r.reachable() {
 			list = append(list, address)
 		}
 	}
 	return list
 }
 
-// CacheQueriedByOthers reports whether another router has asked for the cached prompts of an upstream.
+// CacheQueriedByOthers reports whether another router has queried the cache of an upstream.
 func (s *Service) CacheQueriedByOthers(id settings.UpstreamID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.inventoried[id]
+	return s.queriedByOthers[id]
 }
 
-// Pollers returns the other routers that answered last and can read the directory.
+// Pollers returns the reachable routers that can read the directory.
 func (s *Service) Pollers() []polling.Candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []polling.Candidate
 	for address, r := range s.routers {
-		if address != s.Address && r.alive() && !r.failing {
+		if address != s.Address && r.reachable() && !r.directoryFailing {
 			list = append(list, polling.Candidate{Address: address, Cores: r.cores})
 		}
 	}
 	return list
 }
 
-// LastDirectoryRead returns when, at the latest, another router has read the directory and told it here.
+// LastDirectoryRead returns the time of the latest directory read that another router has reported.
 func (s *Service) LastDirectoryRead() clock.Instant {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var latest clock.Instant
 	for _, r := range s.routers {
-		latest = max(latest, r.informed)
+		latest = max(latest, r.directoryRead)
 	}
 	return latest
 }
 
-// CacheEntriesReceived reports whether a router that knows the cached prompts has told them all.
+// CacheEntriesReceived reports whether another router has sent its cache entries.
 func (s *Service) CacheEntriesReceived() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.learnt
+	return s.cacheEntriesReceived
 }
 
-// Status is what the service shows of one router.
+// Status is the state of one router in a dump.
 type Status struct {
 	Address string `json:"address"`
 	Lost    bool   `json:"lost"`
@@ -86,7 +86,10 @@
 	var list []Status
 	for address, r := range s.routers {
 		list = append(list, Status{
-			Address: address, Lost: r.lost, MetMS: now.Sub(r.met).Milliseconds(), Pending: len(r.holdings) + len(r.members),
+			Address: address,
+			Lost:    r.lost,
+			MetMS:   now.Sub(r.lastExchange).Milliseconds(),
+			Pending: len(r.cacheUpdates) + len(r.memberChanges),
 		})
 	}
 	return list
