--- a/router/internal/engines/doc.go
+++ b/router/internal/engines/doc.go
@@ -1,2 +1,2 @@
-// Package engines asks the engines which prompts they cache, after the routers have lost what they knew.
+// Package engines warms up the cache index after a restart: it queries the engines for the prompt blocks that they cache.
 package engines
--- /dev/null
+++ b/router/internal/engines/warmup_test.go
@@ -0,0 +1,115 @@
+package engines
+
+import (
+	"context"
+	"io"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/charmbracelet/log"
+	"github.com/cockroachdb/errors"
+	qt "github.com/frankban/quicktest"
+	"github.com/uber-go/tally/v4"
+
+	"rattantrack.dev/core/affinity"
+	"rattantrack.dev/core/call"
+	"rattantrack.dev/core/clock"
+	"rattantrack.dev/core/members"
+	"rattantrack.dev/core/settings"
+	"rattantrack.dev/core/warmup"
+)
+
+// fakeCache counts the queries to each engine.
+type fakeCache struct {
+	mu      sync.Mutex
+	queries map[settings.UpstreamID]int
+	err     error
+}
+
+func (f *fakeCache) CachedBlocks(_ context.Context, inst members.Instance) ([]call.PromptBlock, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.queries[inst.ID]++
+	return []call.PromptBlock{{ID: 7, Tokens: 100}}, f.err
+}
+
+// fakeRouters is a fixed state of the other routers.
+type fakeRouters struct {
+	reachable       []string
+	entriesReceived bool
+	queried         map[settings.UpstreamID]bool
+}
+
+func (r *fakeRouters) Reachable() []string                              { return r.reachable }
+func (r *fakeRouters) CacheEntriesReceived() bool                       { return r.entriesReceived }
+func (r *fakeRouters) CacheQueriedByOthers(id settings.UpstreamID) bool { return r.queried[id] }
+
+func newWarmup(address string, cache CacheReader, routers *fakeRouters) *Warmup {
+	registry := &members.Registry{}
+	var list []members.Change
+	for _, id := range []settings.UpstreamID{"e1", "e2", "e3", "e4", "e5", "e6"} {
+		list = append(list, members.Change{ID: id, Revision: 1, Instance: members.Instance{ID: id, Service: "letters"}})
+	}
+	registry.Replace(1, 1, list)
+	return &Warmup{
+		Address: address, Seeds: []string{"a", "b", "c"}, Cache: cache, Routers: routers, Members: registry,
+		Affinity: &affinity.Index{}, Clock: clock.Boot{},
+		Services: func() []settings.ServiceName { return []settings.ServiceName{"letters"} },
+		Log:      log.New(io.Discard), Scope: tally.NoopScope,
+	}
+}
+
+// queryAll runs the queries that are assigned to a router at a time after its start, and waits for them. It reports
+// whether every engine had been queried before.
+func queryAll(w *Warmup, elapsed time.Duration) bool {
+	var wg sync.WaitGroup
+	all := w.queryAssigned(context.Background(), elapsed, make(chan struct{}, maxOpenQueries), &wg)
+	wg.Wait()
+	return all
+}
+
+// TestEachEngineIsQueriedOnce starts a fleet at once, so that no router has reached another one: the routers that the
+// settings name divide the engines among them.
+func TestEachEngineIsQueriedOnce(t *testing.T) {
+	c := qt.New(t)
+	cache := &fakeCache{queries: make(map[settings.UpstreamID]int)}
+	for _, address := range []string{"a", "b", "c", "d", "e"} {
+		queryAll(newWarmup(address, cache, &fakeRouters{}), 0)
+	}
+	c.Assert(cache.queries, qt.HasLen, 6)
+	for id, n := range cache.queries {
+		c.Assert(n, qt.Equals, 1, qt.Commentf("engine %s", id))
+	}
+}
+
+// TestTakeoverQueriesOnlyRemainingEngines takes over when other routers have queried some of the engines.
+func TestTakeoverQueriesOnlyRemainingEngines(t *testing.T) {
+	c := qt.New(t)
+	cache := &fakeCache{queries: make(map[settings.UpstreamID]int)}
+	queried := map[settings.UpstreamID]bool{"e1": true, "e2": true, "e3": true, "e4": true}
+	later := newWarmup("a", cache, &fakeRouters{queried: queried})
+	c.Assert(queryAll(later, warmup.TakeoverDelay), qt.IsFalse)
+	c.Assert(later.Queried(), qt.HasLen, 2)
+	c.Assert(queryAll(later, warmup.TakeoverDelay), qt.IsTrue)
+	c.Assert(cache.queries, qt.HasLen, 2)
+}
+
+// TestFailedQueryIsNotRepeated covers engines that are down while the routers start.
+func TestFailedQueryIsNotRepeated(t *testing.T) {
+	c := qt.New(t)
+	cache := &fakeCache{queries: make(map[settings.UpstreamID]int), err: errors.New("down")}
+	w := newWarmup("a", cache, &fakeRouters{})
+	queryAll(w, warmup.TakeoverDelay)
+	c.Assert(queryAll(w, warmup.TakeoverDelay), qt.IsTrue)
+	for id, n := range cache.queries {
+		c.Assert(n, qt.Equals, 1, qt.Commentf("engine %s", id))
+	}
+}
+
+func TestNoQueriesWhenEntriesAreReceived(t *testing.T) {
+	c := qt.New(t)
+	cache := &fakeCache{queries: make(map[settings.UpstreamID]int)}
+	newWarmup("a", cache, &fakeRouters{entriesReceived: true}).warmUp(context.Background())
+	c.Assert(cache.queries, qt.HasLen, 0)
+}
