--- a/router/internal/directory/doc.go
+++ b/router/internal/directory/doc.go
@@ -1,2 +1,2 @@
-// Package directory follows the platform's directory: declarations and instances.
+// Package directory follows the declarations and the instances in the platform's directory.
 package directory
