--- a/router/internal/upstream/conn.go
+++ b/router/internal/upstream/conn.go
@@ -23,81 +23,81 @@
 // Sizes and times of a connection.
 const (
 	readBufferBytes = 4 << 10
-	// maxHeadBytes bounds the head of an answer.
+	// maxHeadBytes bounds the head of a response.
 	maxHeadBytes = 64 << 10
-	// maxForeign bounds the answers to other requests that are skipped before the one that is waited for.
-	maxForeign = 4
-	// maxForeignBytes bounds the body of such an answer.
-	maxForeignBytes = 1 << 20
-	// dialTime is how long a connection may take to be made within a region.
-	dialTime = 300 * time.Millisecond
-	// silentTime is how long sent bytes may stay unacknowledged; then the path is taken as dead.
-	silentTime = 2500 * time.Millisecond
-	// defaultIdleTime is how long an unused connection is kept where the upstream names no time.
+	// maxMismatched bounds the responses to other requests that are skipped while waiting for the right one.
+	maxMismatched = 4
+	// maxMismatchedBytes bounds the body of such a response.
+	maxMismatchedBytes = 1 << 20
+	// dialTimeout bounds the dial of a connection within a region.
+	dialTimeout = 300 * time.Millisecond
+	// ackTimeout is how long sent bytes may stay unacknowledged before the connection counts as broken.
+	ackTimeout = 2500 * time.Millisecond
+	// defaultIdleTime is how long an idle connection is kept if the upstream announces no idle time.
 	defaultIdleTime = 12 * time.Second
-	// idleMargin is how long before the upstream's own time an unused connection is given up.
+	// idleMargin is how long before the end of the upstream's idle time an idle connection is given up.
 	idleMargin = 700 * time.Millisecond
 )
 
-// Dialect reads what an upstream says in its header fields.
+// Dialect reads the header fields of a response.
 type Dialect interface {
 	ReadAnswer(status int, h http.Header) call.Answer
 }
 
-// Request is a request as it is sent to an upstream.
+// Request is a request to an upstream.
 type Request struct {
 	ID     call.ID
 	Method string
-	// URI is the path and the query, as the client sent them.
+	// URI holds the path and the query as the client sent them.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// HasBody says that the client sent a body, which may be empty.
+	// HasBody reports whether the request has a body, which may be empty.
 	HasBody bool
 }
 
-// Response is an answer whose body is still to be read.
+// Response is a response whose body is still to be read.
 type Response struct {
 	*http.Response
 	Answer call.Answer
 }
 
-// ForeignAnswerError reports an answer to another request on the connection.
-type ForeignAnswerError struct {
+// MismatchedResponseError reports a response to another request on the connection.
+type MismatchedResponseError struct {
 	Want, Got call.ID
 }
 
-func (e *ForeignAnswerError) Error() string {
-	return fmt.Sprintf("the answer is for request %q and not for %q", e.Got, e.Want)
+func (e *MismatchedResponseError) Error() string {
+	return fmt.Sprintf("response is for request %q, not for %q", e.Got, e.Want)
 }
 
-// NotSentError reports a request of which the upstream cannot have read anything.
+// NotSentError reports a request of which the upstream cannot have received anything.
 type NotSentError struct {
 	Cause error
 }
 
 func (e *NotSentError) Error() string { return "not sent: " + e.Cause.Error() }
 
-// Unwrap returns why it was not sent.
+// Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Cause }
 
-// headReader bounds what is read while a head is parsed.
+// headReader is a connection that bounds the bytes read while a response head is parsed.
 type headReader struct {
 	net.Conn
-	left int
-	head bool
+	remaining   int
+	readingHead bool
 }
 
 func (r *headReader) Read(p []byte) (int, error) {
-	if !r.head {
+	if !r.readingHead {
 		return r.Conn.Read(p)
 	}
-	if r.left <= 0 {
-		return 0, errors.Newf("the head exceeds %d bytes", maxHeadBytes)
+	if r.remaining <= 0 {
+		return 0, errors.Newf("response head exceeds %d bytes", maxHeadBytes)
 	}
-	n, err := r.Conn.Read(p[:min(len(p), r.left)])
-	r.left -= n
+	n, err := r.Conn.Read(p[:min(len(p), r.remaining)])
+	r.remaining -= n
 	return n, err
 }
 
@@ -109,34 +109,34 @@
 	reader  *bufio.Reader
 	dialect Dialect
 	used    bool
-	// written is closed when the request has been written whole.
+	// written is closed when the request has been written completely.
 	written   chan struct{}
 	idleSince time.Time
 	idleTime  time.Duration
 }
 
-func dial(ctx context.Context, i members.Instance, dialect Dialect) (*Conn, error) {
+func dial(ctx context.Context, inst members.Instance, dialect Dialect) (*Conn, error) {
 	d := net.Dialer{
-		Timeout:         dialTime,
+		Timeout:         dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2},
-		Control:         UserTimeout(silentTime),
+		Control:         UserTimeout(ackTimeout),
 	}
-	conn, err := d.DialContext(ctx, "tcp", i.Address)
+	conn, err := d.DialContext(ctx, "tcp", inst.Address)
 	if err != nil {
-		return nil, errors.Wrapf(err, "dialling %s", i.Address)
+		return nil, errors.Wrapf(err, "dialling %s", inst.Address)
 	}
-	head := &headReader{Conn: conn}
+	limited := &headReader{Conn: conn}
 	return &Conn{
-		Instance: i,
-		conn:     head,
-		reader:   bufio.NewReaderSize(head, readBufferBytes),
+		Instance: inst,
+		conn:     limited,
+		reader:   bufio.NewReaderSize(limited, readBufferBytes),
 		dialect:  dialect,
 		idleTime: defaultIdleTime,
 	}, nil
 }
 
-// UserTimeout returns a dialer's control function that ends connections whose bytes stay unacknowledged for too long
-// (RFC 5482).
+// UserTimeout returns a control function for a dialer that sets the TCP user timeout (RFC 5482): how long sent bytes may
+// stay unacknowledged before the connection ends.
 func UserTimeout(d time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		var set error
@@ -147,11 +147,11 @@
 	}
 }
 
-// Close ends the connection; the upstream drops the request that runs on it.
+// Close closes the connection, which makes the upstream drop the request on it.
 func (c *Conn) Close() { _ = c.conn.Close() }
 
-// quiet reports whether nothing has arrived on an unused connection: neither an end nor bytes of no request.
-func (c *Conn) quiet() bool {
+// nothingReceived reports whether nothing has arrived on an idle connection: neither its end nor bytes without a request.
+func (c *Conn) nothingReceived() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -163,17 +163,17 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errors.Is(err, unix.EAGAIN)
+		empty = errors.Is(err, unix.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
-// Do sends a request and returns the head of its answer. Closing the connection ends the wait.
+// Do sends a request and returns the head of the response. Closing the connection ends the wait.
 func (c *Conn) Do(r *Request) (*Response, error) {
 	reused := c.used
 	c.used = true
@@ -184,24 +184,24 @@
 	if err := c.send(head, r.Body); err != nil {
 		return nil, err
 	}
-	for range maxForeign {
+	for range maxMismatched {
 		res, err := c.readHead(r.Method)
 		if err != nil {
 			return nil, err
 		}
 		answer := c.dialect.ReadAnswer(res.StatusCode, res.Header)
 		if answer.ID == r.ID || (answer.ID == "" && !reused) {
-			c.noteIdleTime(answer.IdleTime)
+			c.setIdleTime(answer.IdleTime)
 			return &Response{Response: res, Answer: answer}, nil
 		}
-		if err := skip(res); err != nil {
-			return nil, errors.CombineErrors(&ForeignAnswerError{Want: r.ID, Got: answer.ID}, err)
+		if err := skipResponse(res); err != nil {
+			return nil, errors.CombineErrors(&MismatchedResponseError{Want: r.ID, Got: answer.ID}, err)
 		}
 	}
-	return nil, &ForeignAnswerError{Want: r.ID}
+	return nil, &MismatchedResponseError{Want: r.ID}
 }
 
-// send writes the request. A long body is written beside the reading, since an upstream may answer before it has read
+// send writes the request. A long body is written in its own goroutine, since an upstream may respond before it has read
 // the body.
 func (c *Conn) send(head, body []byte) error {
 	c.written = make(chan struct{})
@@ -221,7 +221,7 @@
 	}
 	written := c.written
 	go func() {
-		// A failed write shows as the end of the answer; the connection is then not used again.
+		// A failed write shows as an early end of the response. written then stays open, so the connection is not reused.
 		if _, err := c.conn.Write(body); err == nil {
 			close(written)
 		}
@@ -229,14 +229,14 @@
 	return nil
 }
 
-// readHead reads the head of the next final answer.
+// readHead reads the head of the next response that is not informational.
 func (c *Conn) readHead(method string) (*http.Response, error) {
-	c.conn.head, c.conn.left = true, maxHeadBytes
-	defer func() { c.conn.head = false }()
+	c.conn.readingHead, c.conn.remaining = true, maxHeadBytes
+	defer func() { c.conn.readingHead = false }()
 	for {
 		res, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
-			return nil, errors.Wrap(err, "reading the answer")
+			return nil, errors.Wrap(err, "reading the response")
 		}
 		if res.StatusCode >= http.StatusOK {
 			return res, nil
@@ -244,24 +244,24 @@
 	}
 }
 
-func skip(res *http.Response) error {
-	n, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxForeignBytes))
+func skipResponse(res *http.Response) error {
+	n, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxMismatchedBytes))
 	if err != nil {
 		return err
 	}
-	if n == maxForeignBytes || res.Close {
-		return errors.New("no further answer can follow")
+	if n == maxMismatchedBytes || res.Close {
+		return errors.New("the connection cannot carry another response")
 	}
 	return nil
 }
 
-func (c *Conn) noteIdleTime(t time.Duration) {
+func (c *Conn) setIdleTime(t time.Duration) {
 	if t > 0 {
 		c.idleTime = max(t-idleMargin, t/2)
 	}
 }
 
-// reusable reports whether another request can follow a whole answer.
+// reusable reports whether the connection can carry another request after a complete response.
 func (c *Conn) reusable(res *Response) bool {
 	select {
 	case <-c.written:
@@ -285,18 +285,18 @@
 	return buf.Bytes(), nil
 }
 
-// fresh reports whether the connection may be used for a request that tolerates the given part of its idle time.
-func (c *Conn) fresh(now time.Time, part float64) bool {
-	return now.Sub(c.idleSince) < time.Duration(float64(c.idleTime)*part) && c.quiet()
+// fresh reports whether the connection has been idle for less than the given fraction of its idle time and is intact.
+func (c *Conn) fresh(now time.Time, fraction float64) bool {
+	return now.Sub(c.idleSince) < time.Duration(float64(c.idleTime)*fraction) && c.nothingReceived()
 }
 
-// Key identifies the connections to one life of an instance.
+// Key identifies the connections to one incarnation of an instance.
 type Key struct {
 	ID          settings.UpstreamID
 	Address     string
 	Incarnation members.Incarnation
 }
 
-func keyOf(i members.Instance) Key {
-	return Key{ID: i.ID, Address: i.Address, Incarnation: i.Incarnation}
+func keyOf(inst members.Instance) Key {
+	return Key{ID: inst.ID, Address: inst.Address, Incarnation: inst.Incarnation}
 }
--- a/router/internal/upstream/doc.go
+++ b/router/internal/upstream/doc.go
@@ -1,2 +1,2 @@
-// Package upstream speaks HTTP/1.1 to the upstreams, one request at a time on each connection.
+// Package upstream is an HTTP/1.1 client for upstreams, with one request at a time on each connection.
 package upstream
--- a/router/internal/upstream/events.go
+++ b/router/internal/upstream/events.go
@@ -13,13 +13,13 @@
 // maxEventBytes bounds one event of a stream.
 const maxEventBytes = 1 << 20
 
-// Event is one whole event of a stream, with the bytes that carried it.
+// Event is one complete event of a stream with its raw bytes.
 type Event struct {
 	ID  call.EventID
 	Raw []byte
 }
 
-// Events splits a stream into whole events (WHATWG HTML, section 9.2).
+// Events splits a stream into complete events (WHATWG HTML, section 9.2).
 type Events struct {
 	r   *bufio.Reader
 	raw []byte
@@ -34,8 +34,8 @@
 // Buffered reports whether bytes of the next event have arrived.
 func (e *Events) Buffered() bool { return e.r.Buffered() > 0 }
 
-// Next returns the next whole event, which is valid until the call after it. io.EOF means that the stream has ended
-// after an event; io.ErrUnexpectedEOF that it ended within one.
+// Next returns the next complete event, which is valid until the next call. It returns io.EOF if the stream has ended
+// after an event, and io.ErrUnexpectedEOF if it has ended within one.
 func (e *Events) Next() (Event, error) {
 	e.raw, e.id = e.raw[:0], ""
 	for {
@@ -55,14 +55,14 @@
 	}
 }
 
-// line appends the next line to the event and returns it without its end.
+// line appends the next line to the event and returns it without its line ending.
 func (e *Events) line() ([]byte, error) {
 	start := len(e.raw)
 	for {
-		piece, err := e.r.ReadSlice('\n')
-		e.raw = append(e.raw, piece...)
+		chunk, err := e.r.ReadSlice('\n')
+		e.raw = append(e.raw, chunk...)
 		if len(e.raw) > maxEventBytes {
-			return nil, errors.Newf("an event exceeds %d bytes", maxEventBytes)
+			return nil, errors.Newf("event exceeds %d bytes", maxEventBytes)
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
--- a/router/internal/upstream/events_test.go
+++ b/router/internal/upstream/events_test.go
@@ -12,7 +12,7 @@
 	"rattantrack.dev/core/call"
 )
 
-func TestEventsAreSplitWhole(t *testing.T) {
+func TestNextReturnsCompleteEvents(t *testing.T) {
 	long := strings.Repeat("x", 3*readBufferBytes)
 	tests := []struct {
 		name, body string
@@ -21,10 +21,10 @@
 	}{
 		{"two events", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", []call.EventID{"1", "2"}, io.EOF},
 		{"carriage returns", "id: 1\r\ndata: a\r\n\r\n", []call.EventID{"1"}, io.EOF},
-		{"an end within an event", "id: 1\ndata: a\n\nid: 2\ndat", []call.EventID{"1"}, io.ErrUnexpectedEOF},
-		{"an end before the blank line", "id: 1\ndata: a\n", nil, io.ErrUnexpectedEOF},
-		{"a line longer than the buffer", "id: 1\ndata: " + long + "\n\nid: 2\n\n", []call.EventID{"1", "2"}, io.EOF},
-		{"nothing", "", nil, io.EOF},
+		{"end within an event", "id: 1\ndata: a\n\nid: 2\ndat", []call.EventID{"1"}, io.ErrUnexpectedEOF},
+		{"end before the blank line", "id: 1\ndata: a\n", nil, io.ErrUnexpectedEOF},
+		{"line longer than the buffer", "id: 1\ndata: " + long + "\n\nid: 2\n\n", []call.EventID{"1", "2"}, io.EOF},
+		{"empty stream", "", nil, io.EOF},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -60,7 +60,7 @@
 			raw.Write(e.Raw)
 		}
 		if !strings.HasPrefix(body, raw.String()) {
-			t.Fatalf("events %q are no beginning of %q", raw.String(), body)
+			t.Fatalf("events %q are not a prefix of %q", raw.String(), body)
 		}
 	})
 }
--- a/router/internal/upstream/pool.go
+++ b/router/internal/upstream/pool.go
@@ -8,24 +8,24 @@
 	"rattantrack.dev/core/members"
 )
 
-// Parts of the idle time within which a connection is used again. A request that may not run twice needs a connection
-// that the upstream is surely not about to close.
+// Fractions of the idle time within which a connection is reused. A request that may not run twice needs a connection that
+// the upstream is not about to close.
 const (
-	idlePart     = 1.0
-	idlePartOnce = 0.6
+	idleFraction     = 1.0
+	idleFractionOnce = 0.6
 )
 
-// maxIdle bounds the unused connections to one instance.
+// maxIdle bounds the idle connections to one instance.
 const maxIdle = 48
 
-// sweepInterval is how often connections that were unused for too long are closed.
+// sweepInterval is how often connections are checked for the end of their idle time.
 const sweepInterval = time.Second
 
-// Pool keeps connections between requests, the latest used first; its zero value needs a dialect.
+// Pool keeps idle connections and reuses the most recently used one first. Its Dialect must be set.
 type Pool struct {
 	Dialect Dialect
-	// OnDial hears of each new connection.
-	OnDial func(i members.Instance, err error)
+	// OnDial is called after each dial, with its error if it failed.
+	OnDial func(inst members.Instance, err error)
 
 	mu   sync.Mutex
 	idle map[Key][]*Conn
@@ -34,7 +34,7 @@
 // String returns the service's name.
 func (p *Pool) String() string { return "upstream_connections" }
 
-// Run closes unused connections until ctx ends, and then all of them.
+// Run closes connections at the end of their idle time and, when ctx ends, all idle connections.
 func (p *Pool) Run(ctx context.Context, ready func()) error {
 	ready()
 	t := time.NewTicker(sweepInterval)
@@ -50,9 +50,9 @@
 	}
 }
 
-// Forget closes the unused connections to an instance that is gone.
-func (p *Pool) Forget(i members.Instance) {
-	p.sweep(func(c *Conn) bool { return c.Instance.ID == i.ID })
+// Forget closes the idle connections to an instance.
+func (p *Pool) Forget(inst members.Instance) {
+	p.sweep(func(c *Conn) bool { return c.Instance.ID == inst.ID })
 }
 
 func (p *Pool) sweep(drop func(*Conn) bool) {
@@ -75,25 +75,25 @@
 	}
 }
 
-// Get returns a connection to an instance; once says that the request may not run twice.
-func (p *Pool) Get(ctx context.Context, i members.Instance, once bool) (*Conn, error) {
-	part := idlePart
+// Get returns a connection to an instance. Set once for a request that may not run twice.
+func (p *Pool) Get(ctx context.Context, inst members.Instance, once bool) (*Conn, error) {
+	fraction := idleFraction
 	if once {
-		part = idlePartOnce
+		fraction = idleFractionOnce
 	}
 	for {
-		c := p.take(keyOf(i))
+		c := p.take(keyOf(inst))
 		if c == nil {
 			break
 		}
-		if c.fresh(time.Now(), part) {
+		if c.fresh(time.Now(), fraction) {
 			return c, nil
 		}
 		c.Close()
 	}
-	c, err := dial(ctx, i, p.Dialect)
+	c, err := dial(ctx, inst, p.Dialect)
 	if p.OnDial != nil {
-		p.OnDial(i, err)
+		p.OnDial(inst, err)
 	}
 	return c, err
 }
@@ -111,7 +111,7 @@
 	return c
 }
 
-// Put keeps a connection whose answer was read whole, or closes it where no other request can follow.
+// Put keeps a connection whose response was read completely, or closes it if it cannot carry another request.
 func (p *Pool) Put(c *Conn, res *Response) {
 	if !c.reusable(res) {
 		c.Close()
