--- a/core/placement/choose.go
+++ b/core/placement/choose.go
@@ -4,99 +4,100 @@
 	"rattantrack.dev/core/settings"
 )
 
-// Candidate is an upstream that may get the request.
+// Candidate is an upstream that the request may be sent to.
 type Candidate struct {
 	ID         settings.UpstreamID
 	DataCentre settings.DataCentre
-	// Load is the number of requests open at it over all routers, Slots how many it runs at a time.
+	// Load is the number of requests that all routers have open at the upstream; Slots is how many it runs at a time.
 	Load, Slots int
-	// CachedTokens is the part of the prompt that it need not read again.
+	// CachedTokens is the number of leading prompt tokens that the upstream has cached.
 	CachedTokens settings.Tokens
-	// RendezvousRank is its place in the rendezvous order of the request's key, 0 for the first.
+	// RendezvousRank is the upstream's position in the rendezvous order for the prompt; 0 is the primary.
 	RendezvousRank int
-	// Cold says that it has just started and is slow.
+	// Cold means that the upstream has just started and is still slow.
 	Cold bool
-	// Failed says that the request failed there before.
+	// Failed means that the request failed at this upstream before.
 	Failed bool
-	// Excluded says that the request must not go there: it found no connection there, or the upstream is ejected.
+	// Excluded means that the request must not be sent there, for example because the upstream is ejected or was unreachable.
 	Excluded bool
 }
 
-// Request is what the choice depends on.
+// Request describes the request to place.
 type Request struct {
 	DataCentre settings.DataCentre
-	// SharedTokens is the part of the prompt that other requests may share.
+	// SharedTokens is the number of leading prompt tokens that other requests may share.
 	SharedTokens settings.Tokens
-	// Affinity says that the upstreams cache prompts.
+	// Affinity means that the upstreams cache prompts.
 	Affinity bool
 }
 
-// Policy weighs load against reading prompts again. All costs are in open requests.
+// Policy weighs the load of upstreams against the work of prefilling a prompt again. Costs are in units of one open request.
 type Policy struct {
-	// Multiple and Slack bound the load of one upstream: Multiple times the mean plus Slack.
+	// Multiple and Slack define the load bound of an upstream: Multiple times the mean load plus Slack.
 	Multiple, Slack float64
-	// LongMultiple and LongSlack hold instead where the upstream holds at least LongPrefix tokens of the prompt.
+	// LongMultiple and LongSlack apply instead if the upstream has at least LongPrefix tokens of the prompt cached.
 	LongMultiple, LongSlack float64
 	LongPrefix              settings.Tokens
-	// TokensPerRequest is the number of prompt tokens whose reading costs as much as one open request.
+	// TokensPerRequest is the number of prompt tokens whose prefill costs as much as one open request.
 	TokensPerRequest settings.Tokens
-	// NonPrimaryCost is the cost of leaving the first upstream in the rendezvous order, so that routers that know nothing of
-	// a prompt choose alike.
+	// NonPrimaryCost is the cost of an upstream other than the primary that lacks some of the shared tokens. It makes
+	// routers without information about a prompt choose the same upstream.
 	NonPrimaryCost float64
-	// DistanceCost is the cost of another data centre, and ColdCost that of an upstream that has just started.
+	// DistanceCost is the cost of an upstream in another data centre, ColdCost that of one that has just started.
 	DistanceCost, ColdCost float64
-	// FailureCost is the cost of an upstream at which the request failed before: a long prompt that is cached there is
-	// worth a second try at the same place.
+	// FailureCost is the cost of an upstream at which the request failed before. A long prompt cached there can outweigh
+	// it, so that the request is sent there again.
 	FailureCost float64
-	// Overcommit is how many requests an upstream may hold for each of its slots.
+	// Overcommit is the number of open requests that an upstream may have for each of its slots.
 	Overcommit float64
 }
 
-// Reason says why no upstream was chosen.
+// Reason is the result code of a choice.
 type Reason string
 
-// The reasons of a choice.
+// The result codes of Choose.
 const (
+	// Chosen means that a candidate was chosen.
 	Chosen Reason = "chosen"
-	// NoUpstream says that no upstream may get the request.
+	// NoUpstream means that there is no candidate or that all are excluded.
 	NoUpstream Reason = "no_upstream"
-	// Full says that every upstream has as many requests as it may hold.
+	// Full means that every candidate that is not excluded has as many open requests as Policy.Overcommit allows.
 	Full Reason = "full"
 )
 
 // Choice is the result of Choose.
 type Choice struct {
 	Reason Reason
-	// Index is the place of the chosen candidate.
+	// Index is the chosen candidate's index in the list.
 	Index int
-	// MeanLoad and LoadBound are the mean load and the bound on the chosen candidate.
+	// MeanLoad is the mean load of all candidates; LoadBound is the load bound of the chosen one.
 	MeanLoad, LoadBound float64
-	// Load and Held are those of the chosen candidate.
+	// Load and CachedTokens are those of the chosen candidate.
 	Load         int
 	CachedTokens settings.Tokens
-	// CacheOwner is the candidate that holds most of the prompt, where that is not the chosen one; nil for none.
+	// CacheOwner is the candidate with the most cached tokens of the prompt if it has more than the chosen one, else nil.
 	CacheOwner *Candidate
 }
 
-// Choose returns the candidate with the least cost within the load bound. Two load patterns set the costs: sessions that
-// return to a long prompt stay where it is cached until their upstream is near the bound, and bursts of short requests
-// spread over the least loaded upstreams.
+// Choose returns the candidate with the lowest cost within its load bound. The costs serve two load patterns: sessions that
+// return to a long prompt stay at the upstream that caches it until its load is near the bound, and bursts of short
+// requests are distributed over the least loaded upstreams.
 func Choose(p *Policy, r *Request, candidates []Candidate) Choice {
-	sum, n := 0, 0
+	totalLoad, n := 0, 0
 	for _, c := range candidates {
-		sum += c.Load
+		totalLoad += c.Load
 		n++
 	}
 	if n == 0 {
 		return Choice{Reason: NoUpstream}
 	}
-	choice := Choice{Reason: NoUpstream, MeanLoad: float64(sum) / float64(n)}
-	best := 0.0
-	var holder *Candidate
+	choice := Choice{Reason: NoUpstream, MeanLoad: float64(totalLoad) / float64(n)}
+	lowestCost := 0.0
+	var owner *Candidate
 	for i := range candidates {
 		c := &candidates[i]
-		if c.CachedTokens > 0 && (holder == nil || c.CachedTokens > holder.CachedTokens) {
-			holder = c
+		if c.CachedTokens > 0 && (owner == nil || c.CachedTokens > owner.CachedTokens) {
+			owner = c
 		}
 		if c.Excluded {
 			continue
@@ -108,23 +109,23 @@
 			continue
 		}
 		cost := p.cost(r, c, choice.MeanLoad)
-		if choice.Reason != Chosen || cost < best {
-			choice.Reason, choice.Index, best = Chosen, i, cost
-			choice.LoadBound = p.bound(r, c, choice.MeanLoad)
+		if choice.Reason != Chosen || cost < lowestCost {
+			choice.Reason, choice.Index, lowestCost = Chosen, i, cost
+			choice.LoadBound = p.loadBound(r, c, choice.MeanLoad)
 			choice.Load, choice.CachedTokens = c.Load, c.CachedTokens
 		}
 	}
-	if holder != nil && holder.CachedTokens > choice.CachedTokens {
-		choice.CacheOwner = holder
+	if owner != nil && owner.CachedTokens > choice.CachedTokens {
+		choice.CacheOwner = owner
 	}
 	return choice
 }
 
-// overBound is added to the cost above the load bound: it outweighs every other cost, so that the bound is exceeded
-// only where every candidate exceeds it, and then by the least loaded.
-const overBound = 1e6
+// overBoundPenalty is the penalty of a candidate above its load bound. It outweighs every other cost, so such a candidate is
+// chosen only if all are above their bounds, and then it is the least loaded one.
+const overBoundPenalty = 1e6
 
-func (p *Policy) bound(r *Request, c *Candidate, mean float64) float64 {
+func (p *Policy) loadBound(r *Request, c *Candidate, mean float64) float64 {
 	if r.Affinity && c.CachedTokens >= p.LongPrefix {
 		return p.LongMultiple*mean + p.LongSlack
 	}
@@ -133,8 +134,8 @@
 
 func (p *Policy) cost(r *Request, c *Candidate, mean float64) float64 {
 	cost := float64(c.Load)
-	if float64(c.Load+1) > p.bound(r, c, mean) {
-		return overBound + cost
+	if float64(c.Load+1) > p.loadBound(r, c, mean) {
+		return overBoundPenalty + cost
 	}
 	if r.Affinity {
 		cost += float64(max(0, r.SharedTokens-c.CachedTokens) / p.TokensPerRequest)
--- a/core/placement/choose_test.go
+++ b/core/placement/choose_test.go
@@ -10,19 +10,19 @@
 	"rattantrack.dev/core/settings"
 )
 
-// policy is like the one for engines.
+// policy has the same values as the router's policy for engines.
 var policy = Policy{
 	Multiple: 1.4, Slack: 2, LongMultiple: 1.75, LongSlack: 2.5, LongPrefix: 2000,
 	TokensPerRequest: 300, NonPrimaryCost: 2, DistanceCost: 0.25, ColdCost: 3, FailureCost: 12, Overcommit: 1,
 }
 
-func candidate(id string, load int, held settings.Tokens) Candidate {
-	return Candidate{ID: settings.UpstreamID(id), DataCentre: "kano", Load: load, Slots: 64, CachedTokens: held}
+func candidate(id string, load int, cached settings.Tokens) Candidate {
+	return Candidate{ID: settings.UpstreamID(id), DataCentre: "kano", Load: load, Slots: 64, CachedTokens: cached}
 }
 
 func TestChoose(t *testing.T) {
-	letter := Request{DataCentre: "kano", SharedTokens: 10_500, Affinity: true}
-	query := Request{DataCentre: "kano", SharedTokens: 600, Affinity: true}
+	longPrompt := Request{DataCentre: "kano", SharedTokens: 10_500, Affinity: true}
+	shortPrompt := Request{DataCentre: "kano", SharedTokens: 600, Affinity: true}
 	excluded := candidate("b", 0, 10_500)
 	excluded.Excluded = true
 	failed := candidate("b", 4, 10_500)
@@ -37,16 +37,20 @@
 		want       Reason
 		chosen     settings.UpstreamID
 	}{
-		{"nobody", letter, nil, NoUpstream, ""},
-		{"a long prompt stays where it is cached", letter, []Candidate{candidate("a", 2, 0), candidate("b", 8, 10_500)}, Chosen, "b"},
-		{"a short prompt leaves a loaded upstream", query, []Candidate{candidate("a", 2, 0), candidate("b", 8, 600)}, Chosen, "a"},
-		{"a long prompt leaves an upstream above the bound", letter,
-			[]Candidate{candidate("a", 2, 0), candidate("c", 2, 0), candidate("d", 2, 0), candidate("e", 2, 0), candidate("b", 14, 10_500)}, Chosen, "a"},
-		{"an excluded upstream gets nothing", letter, []Candidate{candidate("a", 9, 0), excluded}, Chosen, "a"},
-		{"only excluded ones", letter, []Candidate{excluded}, NoUpstream, ""},
-		{"a long prompt is tried again where it is cached", letter, []Candidate{candidate("a", 4, 0), failed}, Chosen, "b"},
-		{"a short prompt is tried elsewhere", query, []Candidate{candidate("a", 4, 0), failedShort}, Chosen, "a"},
-		{"all are full", letter, []Candidate{full, full}, Full, ""},
+		{"no candidates", longPrompt, nil, NoUpstream, ""},
+		{"a long prompt stays where it is cached", longPrompt,
+			[]Candidate{candidate("a", 2, 0), candidate("b", 8, 10_500)}, Chosen, "b"},
+		{"a short prompt leaves a loaded upstream", shortPrompt,
+			[]Candidate{candidate("a", 2, 0), candidate("b", 8, 600)}, Chosen, "a"},
+		{"a long prompt leaves an upstream above the bound", longPrompt,
+			[]Candidate{
+				candidate("a", 2, 0), candidate("c", 2, 0), candidate("d", 2, 0), candidate("e", 2, 0), candidate("b", 14, 10_500),
+			}, Chosen, "a"},
+		{"an excluded upstream gets nothing", longPrompt, []Candidate{candidate("a", 9, 0), excluded}, Chosen, "a"},
+		{"only excluded ones", longPrompt, []Candidate{excluded}, NoUpstream, ""},
+		{"a long prompt is tried again where it is cached", longPrompt, []Candidate{candidate("a", 4, 0), failed}, Chosen, "b"},
+		{"a short prompt is tried elsewhere", shortPrompt, []Candidate{candidate("a", 4, 0), failedShort}, Chosen, "a"},
+		{"all are full", longPrompt, []Candidate{full, full}, Full, ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -60,24 +64,24 @@
 	}
 }
 
-// TestHotPromptStaysWithinTheBound replays a fifth of all requests for one long prompt: no upstream may hold more than
-// twice the mean and three requests, the bound that the operators set.
+// TestHotPromptStaysWithinTheBound sends a fifth of all requests with the same long prompt. No upstream may have more open
+// requests than twice the mean plus three, the limit that the operators set.
 func TestHotPromptStaysWithinTheBound(t *testing.T) {
 	c := qt.New(t)
 	r := rand.New(rand.NewPCG(1, 2))
-	const engines, open, steps = 18, 110, 20_000
-	held := make([]map[int]bool, engines)
+	const engines, openRequests, steps = 18, 110, 20_000
+	cached := make([]map[int]bool, engines)
 	loads := make([]int, engines)
-	for i := range held {
-		held[i] = make(map[int]bool)
+	for i := range cached {
+		cached[i] = make(map[int]bool)
 	}
 	var running []int
-	read, over := 0, 0
+	prefills, violations := 0, 0
 	for range steps {
-		if len(running) >= open {
-			at := r.IntN(len(running))
-			loads[running[at]]--
-			running[at] = running[len(running)-1]
+		if len(running) >= openRequests {
+			ended := r.IntN(len(running))
+			loads[running[ended]]--
+			running[ended] = running[len(running)-1]
 			running = running[:len(running)-1]
 		}
 		prompt := r.IntN(76)
@@ -87,23 +91,23 @@
 		candidates := make([]Candidate, engines)
 		for i := range candidates {
 			candidates[i] = candidate(fmt.Sprint(i), loads[i], 0)
-			if held[i][prompt] {
+			if cached[i][prompt] {
 				candidates[i].CachedTokens = 10_500
 			}
 		}
 		choice := Choose(&policy, &Request{DataCentre: "kano", SharedTokens: 10_500, Affinity: true}, candidates)
 		c.Assert(choice.Reason, qt.Equals, Chosen)
-		if !held[choice.Index][prompt] {
-			read++
+		if !cached[choice.Index][prompt] {
+			prefills++
 		}
-		held[choice.Index][prompt] = true
+		cached[choice.Index][prompt] = true
 		loads[choice.Index]++
 		running = append(running, choice.Index)
 		if float64(loads[choice.Index]) > 2*float64(len(running))/engines+3 {
-			over++
+			violations++
 		}
 	}
-	c.Assert(over, qt.Equals, 0)
-	// Each prompt is read at least once, and the hot one at several engines.
-	c.Assert(read < 10*76, qt.IsTrue, qt.Commentf("%d prompts read", read))
+	c.Assert(violations, qt.Equals, 0)
+	// Each prompt is prefilled at least once, and the hot one at several engines.
+	c.Assert(prefills < 10*76, qt.IsTrue, qt.Commentf("%d prefills", prefills))
 }
--- a/core/placement/doc.go
+++ b/core/placement/doc.go
@@ -1,2 +1,2 @@
-// Package placement chooses the upstream of a request from the load and the cached prompts of the candidates.
+// Package placement chooses the upstream for a request by the load of the candidates and the prompts that they cache.
 package placement
