--- a/core/admission/controller.go
+++ b/core/admission/controller.go
@@ -9,73 +9,77 @@
 	"rattantrack.dev/core/settings"
 )
 
-// Shares of the room between the mean and the promised multiple, at which a side acts.
+// Thresholds of a side's load, as fractions of the headroom: the range from the mean load to Policy.Multiple times the mean.
 const (
-	// placeRoom is how far new and spilled work may fill a side.
-	placeRoom = 0.2
-	// holdRoom is how far work whose prefix is cached here may fill it.
-	holdRoom = 0.7
-	// moveRoom is how far work that another side moves here may fill this one.
-	moveRoom = 0.6
-	// shedRoom is where a side begins to move work away.
-	shedRoom = 0.6
+	// uncachedHeadroom limits admission of requests whose prefix is not cached here. A side that moves work away aims at it.
+	uncachedHeadroom = 0.2
+	// cachedHeadroom limits admission of requests whose prefix is cached here.
+	cachedHeadroom = 0.7
+	// movedHeadroom limits admission of requests that another side has moved away.
+	movedHeadroom = 0.6
+	// moveAwayHeadroom is the load above which a side moves work away.
+	moveAwayHeadroom = 0.6
 )
 
-// largeRoom is the part of the room between the mean and the multiple from which a request counts as large.
-const largeRoom = 0.5
+// largeHeadroom is the fraction of the headroom above which a request counts as large.
+const largeHeadroom = 0.5
 
-// mostOfHalf is how far above half the difference of two sides' loads a moved charge may be.
-const mostOfHalf = 1.5
+// maxMoveFactor limits the charge of a moved request to this multiple of half the load difference between the two sides.
+const maxMoveFactor = 1.5
 
-// floorCharges is the number of requests like the one asked about that an idle fleet always takes.
-const floorCharges = 4
+// floorRequests is the number of requests of one size that a side admits whatever the mean load is.
+const floorRequests = 4
 
-// unknownTime is how long a side without a mean keeps to the floor before it believes itself alone.
-const unknownTime = 2 * time.Second
+// noMeanTimeout is how long a side without a mean load admits no more than the floor. After that it assumes that no other
+// side can be reached.
+const noMeanTimeout = 2 * time.Second
 
-// significant is the part of a request's work that a cached prefix must save to be worth another ask.
-const significant = 0.15
+// significantFraction is the fraction of a request's charge that prefill work must exceed to be worth a redirect or an import.
+const significantFraction = 0.15
 
-// Policy is what the declarations say about load.
+// Policy is what a service's declaration says about load.
 type Policy struct {
+	// Multiple is the declared limit of a side's load, as a multiple of the mean load.
 	Multiple float64
 	// PrefillWeight is the work of one prompt token in units of one answer token.
 	PrefillWeight float64
-	// CanImport says that the engine can take in a prefix that another one exports.
+	// CanImport means that an engine can import a prefix that another one exports.
 	CanImport bool
 }
 
-// Request is one request that a side may take.
+// Request is a request that a side may admit.
 type Request struct {
 	Chat         uint64
 	PromptTokens settings.Tokens
 	DecodeTokens settings.Tokens
-	// IsPrimary says that this side is the chat's home.
+	// IsPrimary means that this side is the chat's primary.
 	IsPrimary bool
-	// Redirected says that another side sent the request here.
+	// Redirected means that another side was asked for this request before.
 	Redirected bool
-	// Moved says that a side which carries too much moves the request here.
+	// Moved means that another side has moved the request away to reduce its load.
 	Moved bool
-	// LastCandidate says that every other side asked had more load; only what cannot be run is refused then.
+	// LastCandidate means that every other side that was asked had more load. The request is then admitted whatever the load.
 	LastCandidate bool
-	// CacheOwner is a side that may export the prefix.
+	// CacheOwner is a side that may export the prefix, empty for none.
 	CacheOwner settings.UpstreamID
 }
 
-// Decision is the answer to an Ask.
+// Decision is the answer to a Request.
 type Decision struct {
 	Admitted bool
-	// Charge is the work to count until the request ends; Prefill is the part that ends with the first token.
+	// Charge is the load to count until the request ends; Prefill is the part of it that ends with the first token.
 	Charge  settings.Tokens
 	Prefill settings.Tokens
-	// ImportFrom names the side to fetch the prefix from, and Holder one that has it, where the request goes elsewhere.
+	// ImportFrom is the side to fetch the prefix from, empty for none. CacheOwner is a side that has the prefix, for the
+	// side that is asked next.
 	ImportFrom settings.UpstreamID
 	CacheOwner settings.UpstreamID
-	// Next are sides to ask instead, best first, empty ones after the last.
+	// Next lists the sides to ask instead, best first; unused elements are empty.
 	Next [2]settings.UpstreamID
 }
 
-// Controller holds what one side knows of load and prefixes. It has no clock and no randomness of its own.
+// Controller holds one side's load and its information about other sides and cached prefixes. It has no clock and no
+// randomness of its own.
 type Controller struct {
 	Self        settings.UpstreamID
 	Policy      Policy
@@ -84,202 +88,203 @@
 	Prefixes    Prefixes
 
 	load settings.Tokens
-	// unknownSince is when the estimate was first missed.
-	unknownSince clock.Instant
-	unknown      bool
+	// noMeanSince is when the mean load was first found missing.
+	noMeanSince clock.Instant
+	noMean      bool
 }
 
-// Load returns the work that the side carries.
+// Load returns the sum of the charges of the open requests.
 func (c *Controller) Load() settings.Tokens { return c.load }
 
-// limit returns the load up to which work of a kind may be taken.
-func (c *Controller) limit(now clock.Instant, room float64, charge settings.Tokens) settings.Tokens {
-	floor := floorCharges * charge
-	m, known := c.Estimator.Mean(now)
+// limit returns the load up to which a request of the given charge may be admitted, for one of the headroom fractions.
+func (c *Controller) limit(now clock.Instant, headroom float64, charge settings.Tokens) settings.Tokens {
+	floor := floorRequests * charge
+	mean, known := c.Estimator.Mean(now)
 	if !known {
 		return c.limitWithoutMean(now, floor)
 	}
-	c.unknown = false
-	// A side at the mean takes one request more unless that alone makes it shed.
-	one := min(m+charge, c.above(m, moveRoom))
-	return max(floor, one, c.above(m, room))
+	c.noMean = false
+	// A side at the mean admits one request more, unless that request alone would make it move work away.
+	oneMore := min(mean+charge, c.loadAt(mean, movedHeadroom))
+	return max(floor, oneMore, c.loadAt(mean, headroom))
 }
 
-// limitWithoutMean keeps to the floor until it is clear that no other side can be reached.
+// limitWithoutMean returns the floor until noMeanTimeout has passed, and no limit after that.
 func (c *Controller) limitWithoutMean(now clock.Instant, floor settings.Tokens) settings.Tokens {
-	if !c.unknown {
-		c.unknown = true
-		c.unknownSince = now
+	if !c.noMean {
+		c.noMean = true
+		c.noMeanSince = now
 	}
-	if now.Sub(c.unknownSince) > unknownTime {
-		return unlimited
+	if now.Sub(c.noMeanSince) > noMeanTimeout {
+		return unlimitedLoad
 	}
 	return floor
 }
 
-const unlimited = settings.Tokens(1e18)
+const unlimitedLoad = settings.Tokens(1e18)
 
-// Decide answers an ask; an admitted request's charge is counted at once.
-func (c *Controller) Decide(now clock.Instant, ask Request) Decision {
-	cached := min(ask.PromptTokens, c.Prefixes.Cached(ask.Chat))
-	v := c.price(ask, cached)
+// Decide answers a request; the charge of an admitted one counts at once.
+func (c *Controller) Decide(now clock.Instant, req Request) Decision {
+	cached := min(req.PromptTokens, c.Prefixes.Cached(req.Chat))
+	decision := c.newDecision(req, cached)
 	saved := c.prefill(cached)
-	here := saved > significant*v.Charge
-	v.CacheOwner = ask.CacheOwner
-	if here {
-		v.CacheOwner = c.Self
+	cachedHere := saved > significantFraction*decision.Charge
+	decision.CacheOwner = req.CacheOwner
+	if cachedHere {
+		decision.CacheOwner = c.Self
 	}
-	if !here && !ask.Redirected && ask.IsPrimary {
-		if to, ok := c.redirect(ask, v.Charge); ok {
-			v.Next[0] = to
-			v.CacheOwner = to
-			return v
+	if !cachedHere && !req.Redirected && req.IsPrimary {
+		if to, ok := c.redirectTarget(req, decision.Charge); ok {
+			decision.Next[0] = to
+			decision.CacheOwner = to
+			return decision
 		}
 	}
-	if !here && !ask.Redirected && c.large(now, v.Charge) {
-		// Such a request is placed by load from the start, since moving others out of its way costs more.
-		c.elsewhere(now, ask, &v)
-		if v.Next[0] != "" {
-			v.ImportFrom = ""
-			return v
+	if !cachedHere && !req.Redirected && c.isLarge(now, decision.Charge) {
+		// A large request is placed by load from the start, since moving other requests away to make room costs more.
+		c.setNext(now, req, &decision)
+		if decision.Next[0] != "" {
+			decision.ImportFrom = ""
+			return decision
 		}
 	}
-	room := placeRoom
+	headroom := uncachedHeadroom
 	switch {
-	case here:
-		room = holdRoom
-	case ask.Moved:
-		room = moveRoom
+	case cachedHere:
+		headroom = cachedHeadroom
+	case req.Moved:
+		headroom = movedHeadroom
 	}
-	if ask.LastCandidate || c.load+v.Charge <= c.limit(now, room, v.Charge) {
-		v.Admitted = true
-		c.load += v.Charge
-		c.Prefixes.Used(ask.Chat)
-		return v
+	if req.LastCandidate || c.load+decision.Charge <= c.limit(now, headroom, decision.Charge) {
+		decision.Admitted = true
+		c.load += decision.Charge
+		c.Prefixes.RecordUse(req.Chat)
+		return decision
 	}
-	v.ImportFrom = ""
-	c.elsewhere(now, ask, &v)
-	return v
+	decision.ImportFrom = ""
+	c.setNext(now, req, &decision)
+	return decision
 }
 
-// large reports whether a request would take a good part of the room between the mean and the multiple.
-func (c *Controller) large(now clock.Instant, charge settings.Tokens) bool {
-	m, known := c.Estimator.Mean(now)
-	return known && c.load+charge > m && charge > largeRoom*settings.Tokens(c.Policy.Multiple-1)*m
+// isLarge reports whether a request would put the side above the mean and takes more than largeHeadroom.
+func (c *Controller) isLarge(now clock.Instant, charge settings.Tokens) bool {
+	mean, known := c.Estimator.Mean(now)
+	return known && c.load+charge > mean && charge > largeHeadroom*settings.Tokens(c.Policy.Multiple-1)*mean
 }
 
-// price returns the charge of a request of which a part of the prompt is cached here.
-func (c *Controller) price(ask Request, cached settings.Tokens) Decision {
-	missing := c.prefill(ask.PromptTokens - cached)
-	v := Decision{Charge: ask.DecodeTokens + missing, Prefill: missing}
-	pays := missing > significant*v.Charge
-	if c.Policy.CanImport && pays && ask.CacheOwner != "" && ask.CacheOwner != c.Self {
-		v.ImportFrom = ask.CacheOwner
-		v.Charge = ask.DecodeTokens
-		v.Prefill = 0
+// newDecision returns a Decision with the charge of a request, and with the import that reduces the charge if one pays off.
+func (c *Controller) newDecision(req Request, cached settings.Tokens) Decision {
+	missing := c.prefill(req.PromptTokens - cached)
+	decision := Decision{Charge: req.DecodeTokens + missing, Prefill: missing}
+	worthImport := missing > significantFraction*decision.Charge
+	if c.Policy.CanImport && worthImport && req.CacheOwner != "" && req.CacheOwner != c.Self {
+		decision.ImportFrom = req.CacheOwner
+		decision.Charge = req.DecodeTokens
+		decision.Prefill = 0
 	}
-	return v
+	return decision
 }
 
-// prefill returns the work of reading prompt tokens that are not cached.
+// prefill returns the work of prefilling n prompt tokens.
 func (c *Controller) prefill(n settings.Tokens) settings.Tokens {
 	return settings.Tokens(c.Policy.PrefillWeight) * n
 }
 
-// redirect names the side that holds the chat's prefix, if asking there can pay.
-func (c *Controller) redirect(ask Request, charge settings.Tokens) (settings.UpstreamID, bool) {
-	first, _ := c.CacheOwners.Owners(ask.Chat)
-	if first == "" || first == c.Self || c.prefill(ask.PromptTokens) <= significant*charge {
+// redirectTarget returns the side that last served the chat, if its cached prefix can be worth a redirect.
+func (c *Controller) redirectTarget(req Request, charge settings.Tokens) (settings.UpstreamID, bool) {
+	first, _ := c.CacheOwners.Owners(req.Chat)
+	if first == "" || first == c.Self || c.prefill(req.PromptTokens) <= significantFraction*charge {
 		return "", false
 	}
 	return first, true
 }
 
-// elsewhere fills in the sides to ask instead: the chat's other holder, then lightly loaded sides.
-func (c *Controller) elsewhere(now clock.Instant, ask Request, v *Decision) {
+// setNext sets the sides to ask instead: another cache owner of the chat, then the least loaded sides.
+func (c *Controller) setNext(now clock.Instant, req Request, decision *Decision) {
 	n := 0
-	if ask.IsPrimary && !ask.Redirected {
-		first, second := c.CacheOwners.Owners(ask.Chat)
+	if req.IsPrimary && !req.Redirected {
+		first, second := c.CacheOwners.Owners(req.Chat)
 		if first == c.Self {
 			first = second
 		}
 		if first != "" && first != c.Self {
-			v.Next[n] = first
+			decision.Next[n] = first
 			n++
 		}
 	}
-	for n < len(v.Next) {
-		side, _, ok := c.Estimator.LeastLoaded(now, v.Next[0], c.Self)
+	for n < len(decision.Next) {
+		side, _, ok := c.Estimator.LeastLoaded(now, decision.Next[0], c.Self)
 		if !ok {
 			return
 		}
-		if n == 0 || v.Next[0] != side {
-			c.Estimator.Sent(side, v.Charge/settings.Tokens(n+1))
+		if n == 0 || decision.Next[0] != side {
+			c.Estimator.RecordSent(side, decision.Charge/settings.Tokens(n+1))
 		}
-		v.Next[n] = side
+		decision.Next[n] = side
 		n++
 	}
 }
 
-// FirstToken takes the prefill part off the load when a request's first token is there.
-func (c *Controller) FirstToken(v *Decision) {
-	c.load -= v.Prefill
-	v.Charge -= v.Prefill
-	v.Prefill = 0
+// FirstToken takes the prefill part of a request's charge off the load; call it when the first token arrives.
+func (c *Controller) FirstToken(decision *Decision) {
+	c.load -= decision.Prefill
+	decision.Charge -= decision.Prefill
+	decision.Prefill = 0
 }
 
-// Release takes what is left of a request's charge off the load.
-func (c *Controller) Release(v *Decision) {
-	c.load -= v.Charge
-	v.Charge = 0
-	v.Prefill = 0
+// Release takes the rest of a request's charge off the load; call it when the request ends.
+func (c *Controller) Release(decision *Decision) {
+	c.load -= decision.Charge
+	decision.Charge = 0
+	decision.Prefill = 0
 }
 
-// ExcessLoad returns the work that should move away, or zero while the side carries no more than it should.
+// ExcessLoad returns the work that should move to other sides, or zero if the load is within moveAwayHeadroom.
 func (c *Controller) ExcessLoad(now clock.Instant) settings.Tokens {
-	m, known := c.Estimator.Mean(now)
-	if !known || c.load <= c.above(m, shedRoom) {
+	mean, known := c.Estimator.Mean(now)
+	if !known || c.load <= c.loadAt(mean, moveAwayHeadroom) {
 		return 0
 	}
-	return c.load - c.above(m, placeRoom)
+	return c.load - c.loadAt(mean, uncachedHeadroom)
 }
 
-// above returns the load at a part of the room between the mean and the multiple.
-func (c *Controller) above(m settings.Tokens, room float64) settings.Tokens {
-	return m * settings.Tokens(1+room*(c.Policy.Multiple-1))
+// loadAt returns the load at a fraction of the headroom above the mean.
+func (c *Controller) loadAt(mean settings.Tokens, headroom float64) settings.Tokens {
+	return mean * settings.Tokens(1+headroom*(c.Policy.Multiple-1))
 }
 
-// Move is work that should go to another side: the request whose charge is nearest to Charge, and none above Most.
+// Move describes work that should move to another side: the request whose charge is closest to Charge and not above
+// MaxCharge.
 type Move struct {
 	To        settings.UpstreamID
 	Charge    settings.Tokens
 	MaxCharge settings.Tokens
 }
 
-// NextMove returns the move that brings the side nearer to the mean, if it carries too much and a lighter side is known.
+// NextMove returns a move that reduces the load, if the side has excess load and knows a less loaded side.
 func (c *Controller) NextMove(now clock.Instant) (Move, bool) {
 	excess := c.ExcessLoad(now)
 	if excess <= 0 {
 		return Move{}, false
 	}
-	to, load, ok := c.Estimator.LeastLoaded(now, c.Self)
-	if !ok || load >= c.load {
+	to, targetLoad, ok := c.Estimator.LeastLoaded(now, c.Self)
+	if !ok || targetLoad >= c.load {
 		return Move{}, false
 	}
-	// Beyond half the difference the two sides would only change places.
-	half := (c.load - load) / 2
-	return Move{To: to, Charge: min(excess, half), MaxCharge: half * mostOfHalf}, true
+	// At most half the difference should move; moving all of it would only swap the loads of the two sides.
+	half := (c.load - targetLoad) / 2
+	return Move{To: to, Charge: min(excess, half), MaxCharge: half * maxMoveFactor}, true
 }
 
-// RecordMove counts a moved request's charge towards its new side.
+// RecordMove adds a moved request's charge to the load assumed for its new side.
 func (c *Controller) RecordMove(to settings.UpstreamID, charge settings.Tokens) {
-	c.Estimator.Sent(to, charge)
+	c.Estimator.RecordSent(to, charge)
 }
 
-// RecordMissingImport corrects a request's charge when fewer tokens of its prefix came than were expected.
-func (c *Controller) RecordMissingImport(v *Decision, missing settings.Tokens) {
+// RecordMissingImport adds the prefill work of prefix tokens that an import did not deliver to a request's charge.
+func (c *Controller) RecordMissingImport(decision *Decision, missing settings.Tokens) {
 	work := c.prefill(missing)
 	c.load += work
-	v.Charge += work
-	v.Prefill += work
+	decision.Charge += work
+	decision.Prefill += work
 }
--- a/core/admission/controller_test.go
+++ b/core/admission/controller_test.go
@@ -15,7 +15,7 @@
 
 const start = clock.Instant(time.Hour)
 
-// controller returns one side that knows a mean of 1000 and one lighter side.
+// controller returns the controller of a side with a mean load of 1000, one less loaded and one more loaded side.
 func controller() *Controller {
 	c := &Controller{Self: "self", Policy: Policy{Multiple: 1.25, PrefillWeight: 0.1, CanImport: true}}
 	c.Estimator.Merge(start, 1000, meanload.Sample{Side: "light", Load: 800, Mean: 1000, Known: true})
@@ -25,17 +25,17 @@
 
 func TestDecideFollowsPrefixAndLoad(t *testing.T) {
 	tests := map[string]struct {
-		setup func(c *Controller)
-		ask   Request
-		admit bool
-		next  settings.UpstreamID
+		setup    func(c *Controller)
+		req      Request
+		admitted bool
+		next     settings.UpstreamID
 	}{
-		"new chat at an idle home": {nil, Request{Chat: 1, PromptTokens: 100, DecodeTokens: 50, IsPrimary: true}, true, ""},
-		"chat held elsewhere": {func(c *Controller) { c.CacheOwners.RecordServed(1, "other") },
+		"new chat at an idle primary": {nil, Request{Chat: 1, PromptTokens: 100, DecodeTokens: 50, IsPrimary: true}, true, ""},
+		"chat cached elsewhere": {func(c *Controller) { c.CacheOwners.RecordServed(1, "other") },
 			Request{Chat: 1, PromptTokens: 2000, DecodeTokens: 50, IsPrimary: true}, false, "other"},
-		"chat held elsewhere that the other side sent here": {func(c *Controller) { c.CacheOwners.RecordServed(1, "other") },
+		"chat cached elsewhere, redirected here": {func(c *Controller) { c.CacheOwners.RecordServed(1, "other") },
 			Request{Chat: 1, PromptTokens: 2000, DecodeTokens: 50, IsPrimary: true, Redirected: true}, true, ""},
-		"short chat held elsewhere is not worth another ask": {func(c *Controller) { c.CacheOwners.RecordServed(1, "other") },
+		"short chat cached elsewhere is not worth a redirect": {func(c *Controller) { c.CacheOwners.RecordServed(1, "other") },
 			Request{Chat: 1, PromptTokens: 50, DecodeTokens: 50, IsPrimary: true}, true, ""},
 		"cached chat above the mean": {func(c *Controller) { c.load = 1050; c.Prefixes.RecordStored(1, 2000) },
 			Request{Chat: 1, PromptTokens: 2000, DecodeTokens: 50, IsPrimary: true}, true, ""},
@@ -52,28 +52,28 @@
 			if test.setup != nil {
 				test.setup(c)
 			}
-			v := c.Decide(start, test.ask)
-			qt.Assert(t, v.Admitted, qt.Equals, test.admit)
-			qt.Assert(t, v.Next[0], qt.Equals, test.next)
+			decision := c.Decide(start, test.req)
+			qt.Assert(t, decision.Admitted, qt.Equals, test.admitted)
+			qt.Assert(t, decision.Next[0], qt.Equals, test.next)
 		})
 	}
 }
 
-func TestWokenSideTakesOnlyTheFloor(t *testing.T) {
+func TestSideWithStaleMeanAdmitsOnlyTheFloor(t *testing.T) {
 	c := qt.New(t)
 	s := controller()
-	woken := start.Add(30 * time.Second)
-	taken := 0
+	resumed := start.Add(30 * time.Second)
+	admitted := 0
 	for range 20 {
-		if s.Decide(woken, Request{Chat: uint64(taken), DecodeTokens: 100}).Admitted {
-			taken++
+		if s.Decide(resumed, Request{Chat: uint64(admitted), DecodeTokens: 100}).Admitted {
+			admitted++
 		}
 	}
-	c.Assert(taken, qt.Equals, floorCharges)
-	c.Assert(s.ExcessLoad(woken), qt.Equals, settings.Tokens(0))
+	c.Assert(admitted, qt.Equals, floorRequests)
+	c.Assert(s.ExcessLoad(resumed), qt.Equals, settings.Tokens(0))
 }
 
-func TestLoadIsWhatWasTakenAndNotGivenBack(t *testing.T) {
+func TestLoadEqualsTheChargesOfOpenRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := controller()
 		var open []*Decision
@@ -81,17 +81,17 @@
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				ask := Request{
+				req := Request{
 					Chat:          uint64(rapid.IntRange(1, 5).Draw(t, "chat")),
 					PromptTokens:  settings.Tokens(rapid.IntRange(0, 3000).Draw(t, "prompt")),
 					DecodeTokens:  settings.Tokens(rapid.IntRange(1, 300).Draw(t, "decode")),
-					CacheOwner:    rapid.SampledFrom([]settings.UpstreamID{"", "other"}).Draw(t, "holder"),
-					LastCandidate: rapid.Bool().Draw(t, "last"),
+					CacheOwner:    rapid.SampledFrom([]settings.UpstreamID{"", "other"}).Draw(t, "cache owner"),
+					LastCandidate: rapid.Bool().Draw(t, "last candidate"),
 				}
-				v := c.Decide(start.Add(time.Duration(i)), ask)
-				if v.Admitted {
-					want += v.Charge
-					open = append(open, &v)
+				decision := c.Decide(start.Add(time.Duration(i)), req)
+				if decision.Admitted {
+					want += decision.Charge
+					open = append(open, &decision)
 				}
 			case 1:
 				if len(open) > 0 {
@@ -118,7 +118,7 @@
 	})
 }
 
-func TestMovesNeverMakeTheNewSideHeavierThanTheOld(t *testing.T) {
+func TestMoveDoesNotRaiseTheTargetAboveTheSource(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := controller()
 		c.load = settings.Tokens(rapid.IntRange(0, 4000).Draw(t, "load"))
@@ -126,23 +126,23 @@
 		if !ok {
 			return
 		}
-		if c.load <= c.above(1000, 0) {
-			t.Fatalf("moves away work at load %v", c.load)
+		if c.load <= c.loadAt(1000, 0) {
+			t.Fatalf("plans a move at load %v", c.load)
 		}
 		if 800+m.MaxCharge > c.load {
-			t.Fatalf("a move of %v would leave the new side heavier than %v", m.MaxCharge, c.load)
+			t.Fatalf("a move of %v would raise the target's load above %v", m.MaxCharge, c.load)
 		}
 	})
 }
 
-func TestPrefixesKeepToTheCacheSize(t *testing.T) {
+func TestPrefixesStayWithinTheCacheSize(t *testing.T) {
 	c := qt.New(t)
 	p := &Prefixes{Limit: 1000}
 	for i := range uint64(50) {
 		p.RecordStored(i, 100)
 		p.RecordStored(i, 120)
 	}
-	c.Assert(p.held <= 1000, qt.IsTrue)
+	c.Assert(p.total <= 1000, qt.IsTrue)
 	c.Assert(p.Cached(49), qt.Equals, settings.Tokens(120))
 	c.Assert(p.Cached(0), qt.Equals, settings.Tokens(0))
 }
@@ -154,9 +154,9 @@
 	}
 	b.ReportAllocs()
 	for i := range b.N {
-		v := c.Decide(start, Request{Chat: uint64(i % 2400), PromptTokens: 2000, DecodeTokens: 100, IsPrimary: true})
-		if v.Admitted {
-			c.Release(&v)
+		decision := c.Decide(start, Request{Chat: uint64(i % 2400), PromptTokens: 2000, DecodeTokens: 100, IsPrimary: true})
+		if decision.Admitted {
+			c.Release(&decision)
 		}
 	}
 }
--- a/core/admission/prefixes.go
+++ b/core/admission/prefixes.go
@@ -6,49 +6,50 @@
 	"rattantrack.dev/core/settings"
 )
 
-// maxPrefixes bounds the chats remembered whatever the size of the cache.
+// maxPrefixes limits the number of chats in the table, whatever the size of the engine's cache.
 const maxPrefixes = 8192
 
-// believed is the part of the engine's cache whose content is believed in; the rest may be gone already.
-const believed = 0.9
+// usableFraction is the fraction of the engine's cache size up to which the table keeps entries. The engine may have evicted
+// anything beyond it.
+const usableFraction = 0.9
 
-// Prefixes is what a side believes its engine's cache to hold; being wrong costs a miss and never an answer.
-// Its zero value believes in nothing and is ready to use.
+// Prefixes estimates which chats' prefixes the side's engine has cached. A wrong estimate costs a cache miss and never an
+// answer. The zero value is empty and ready to use.
 type Prefixes struct {
-	// Limit is the size of the engine's cache in tokens.
+	// Limit is the size of the engine's cache in tokens, 0 for no limit.
 	Limit settings.Tokens
 
-	lru  *simplelru.LRU[uint64, settings.Tokens]
-	held settings.Tokens
+	lru   *simplelru.LRU[uint64, settings.Tokens]
+	total settings.Tokens
 }
 
 func (p *Prefixes) table() *simplelru.LRU[uint64, settings.Tokens] {
 	if p.lru == nil {
-		// The only error is a size below one.
-		p.lru, _ = simplelru.NewLRU(maxPrefixes, func(_ uint64, n settings.Tokens) { p.held -= n })
+		// NewLRU fails only for a size below one.
+		p.lru, _ = simplelru.NewLRU(maxPrefixes, func(_ uint64, n settings.Tokens) { p.total -= n })
 	}
 	return p.lru
 }
 
-// Cached returns the tokens of a chat's prefix that the engine is believed to hold.
+// Cached returns the number of tokens of a chat's prefix that the engine probably has cached.
 func (p *Prefixes) Cached(chat uint64) settings.Tokens {
 	n, _ := p.table().Peek(chat)
 	return n
 }
 
-// Used notes that the engine is using a chat's prefix.
-func (p *Prefixes) Used(chat uint64) { p.table().Get(chat) }
+// RecordUse records that the engine uses a chat's prefix now.
+func (p *Prefixes) RecordUse(chat uint64) { p.table().Get(chat) }
 
-// RecordStored notes that the engine has just held this many tokens of a chat.
+// RecordStored records that the engine has cached n tokens of a chat, and drops the least recently used chats over the limit.
 func (p *Prefixes) RecordStored(chat uint64, n settings.Tokens) {
 	t := p.table()
 	t.Remove(chat)
 	t.Add(chat, n)
-	p.held += n
-	for p.Limit > 0 && p.held > p.Limit*believed && t.Len() > 1 {
+	p.total += n
+	for p.Limit > 0 && p.total > p.Limit*usableFraction && t.Len() > 1 {
 		t.RemoveOldest()
 	}
 }
 
-// Len returns the number of chats remembered.
+// Len returns the number of chats in the table.
 func (p *Prefixes) Len() int { return p.table().Len() }
--- a/core/cacheowner/doc.go
+++ b/core/cacheowner/doc.go
@@ -1,2 +1,2 @@
-// Package cacheowner remembers, for the chats whose home is here, which sides hold their prefix.
+// Package cacheowner records, for the chats whose primary is this side, which sides may have their prefix cached.
 package cacheowner
--- a/core/meanload/doc.go
+++ b/core/meanload/doc.go
@@ -1,2 +1,2 @@
-// Package meanload estimates the mean load of a service's sides by pairwise exchanges, with no table of sides.
+// Package meanload estimates the mean load of a service's sides by pairwise gossip averaging, without a table of all sides.
 package meanload
--- a/core/meanload/mean_test.go
+++ b/core/meanload/estimator_test.go
@@ -13,7 +13,7 @@
 	"rattantrack.dev/core/settings"
 )
 
-// fleet is a set of estimators that exchange with random others.
+// fleet is a set of estimators, each of which exchanges samples with random others.
 type fleet struct {
 	estimators []*Estimator
 	loads      []settings.Tokens
@@ -60,7 +60,7 @@
 	return worst
 }
 
-func TestEstimatesComeWithinTenPercent(t *testing.T) {
+func TestEstimatesConvergeWithinTenPercent(t *testing.T) {
 	for _, n := range []int{20, 200, 1015} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			c := qt.New(t)
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestEstimatesFollowALostShare(t *testing.T) {
+func TestEstimatesFollowTheLossOfSides(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(40, 2)
 	for range 20 {
@@ -97,25 +97,25 @@
 	f.round()
 	_, known := f.estimators[0].Mean(f.now)
 	c.Assert(known, qt.IsTrue)
-	woken := f.now.Add(30 * time.Second)
-	_, known = f.estimators[0].Mean(woken)
+	later := f.now.Add(30 * time.Second)
+	_, known = f.estimators[0].Mean(later)
 	c.Assert(known, qt.IsFalse)
-	_, _, found := f.estimators[0].LeastLoaded(woken)
+	_, _, found := f.estimators[0].LeastLoaded(later)
 	c.Assert(found, qt.IsFalse)
 }
 
-func TestWhatIsRememberedDoesNotGrowWithTheFleet(t *testing.T) {
+func TestReportsDoNotGrowWithTheFleet(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(400, 4)
 	for range 60 {
 		f.round()
 	}
 	for _, e := range f.estimators {
-		c.Assert(len(e.light) <= maxLight, qt.IsTrue)
+		c.Assert(len(e.reports) <= maxReports, qt.IsTrue)
 	}
 }
 
-func TestLightestIsTheSideExpectedToBeLightNow(t *testing.T) {
+func TestLeastLoadedAgesReports(t *testing.T) {
 	c := qt.New(t)
 	now := clock.Instant(time.Hour)
 	e := &Estimator{}
@@ -124,7 +124,7 @@
 	side, _, ok := e.LeastLoaded(now.Add(1900 * time.Millisecond))
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(side, qt.Equals, settings.UpstreamID("new"))
-	e.Sent("new", 900)
+	e.RecordSent("new", 900)
 	side, _, _ = e.LeastLoaded(now.Add(1900 * time.Millisecond))
 	c.Assert(side, qt.Equals, settings.UpstreamID("old"))
 }
