--- a/core/attempt/doc.go
+++ b/core/attempt/doc.go
@@ -1,2 +1,2 @@
-// Package attempt decides what follows the end of an attempt: another attempt, the rest of a stream, or a final answer.
+// Package attempt decides what follows when an attempt ends: another attempt, which may resume a stream, or the final result.
 package attempt
--- a/core/attempt/next.go
+++ b/core/attempt/next.go
@@ -5,62 +5,62 @@
 // Ending is how an attempt ended.
 type Ending string
 
-// The endings of an attempt.
+// Endings of an attempt.
 const (
-	// Complete is an answer that reached the client whole.
+	// Complete means that the client got a complete answer.
 	Complete Ending = "whole"
-	// NotSent is an upstream that was not reached or cannot have read the request.
+	// NotSent means that the upstream was not reached or cannot have read the request.
 	NotSent Ending = "not_sent"
-	// Refused is an upstream's statement that it did not run the request.
+	// Refused means that the upstream stated that it did not run the request.
 	Refused Ending = "refused"
-	// Failed is a whole answer of the upstream that reports a failure.
+	// Failed means that the upstream's answer is complete and reports a failure.
 	Failed Ending = "failed"
-	// Lost is a request that was sent and has no whole answer.
+	// Lost means that the request was sent and no complete answer arrived.
 	Lost Ending = "lost"
-	// Cut is a stream that broke off after the client got its first event.
+	// Cut means that a stream broke off after its first event had reached the client.
 	Cut Ending = "cut"
-	// ClientGone is a client that no longer waits.
+	// ClientGone means that the client no longer waits.
 	ClientGone Ending = "client_gone"
 )
 
-// State is what the decision depends on.
+// State is the state of a request after an attempt.
 type State struct {
 	Ending Ending
-	// Repeatable says that the request may run again after a run whose result is unknown.
+	// Repeatable means that the request may run again after a run whose result is unknown.
 	Repeatable bool
-	// Runs is the number of upstreams that may have run the request, MaxRuns the largest number that may.
+	// Runs is the number of attempts whose upstream may have run the request; MaxRuns is the limit for it.
 	Runs, MaxRuns int
-	// Attempts counts the attempts, those that cannot have run included.
+	// Attempts is the number of all attempts, including those that cannot have run.
 	Attempts int
-	// Remaining is the time until the deadline.
+	// Remaining is the time until the request's deadline.
 	Remaining time.Duration
 }
 
-// Step is what follows.
+// Step is what follows an attempt.
 type Step string
 
-// The steps after an attempt.
+// Steps after an attempt.
 const (
-	// Stop is the end of the request with what it has.
+	// Stop ends the request with the result that it has.
 	Stop Step = "stop"
-	// Retry is another attempt, which counts as a repeat at the service.
+	// Retry starts another attempt, which counts against the service's retry budget.
 	Retry Step = "again"
-	// Reconnect is another attempt after one that no upstream has seen.
+	// Reconnect starts another attempt after one that no upstream has seen.
 	Reconnect Step = "reconnect"
 )
 
-// Bounds of what one request may cost.
+// Limits of one request.
 const (
-	// maxTries bounds the attempts of one request, whatever their endings.
-	maxTries = 6
-	// minLeft is the time below which another attempt has no prospect of an answer.
-	minLeft = 20 * time.Millisecond
+	// maxAttempts limits the attempts of one request, whatever their endings.
+	maxAttempts = 6
+	// minRemaining is the remaining time below which another attempt cannot be expected to get an answer.
+	minRemaining = 20 * time.Millisecond
 )
 
-// Next returns what follows an attempt. It answers runs of failures in which many requests fail at once: only requests
-// that may run again are repeated, and the caller asks the budget of the fleet for each repeat.
+// Next returns the step after an attempt. To limit the load when many requests fail at once, a request that may have run is
+// retried only if it is repeatable, and the caller must take each Retry from the fleet's retry budget.
 func Next(s State) Step {
-	if s.Ending == Complete || s.Ending == ClientGone || s.Attempts >= maxTries || s.Remaining < minLeft {
+	if s.Ending == Complete || s.Ending == ClientGone || s.Attempts >= maxAttempts || s.Remaining < minRemaining {
 		return Stop
 	}
 	switch s.Ending {
--- a/core/attempt/next_test.go
+++ b/core/attempt/next_test.go
@@ -19,7 +19,7 @@
 		state State
 		want  Step
 	}{
-		{"whole", with(func(s *State) { s.Ending, s.Repeatable = Complete, true }), Stop},
+		{"complete", with(func(s *State) { s.Ending, s.Repeatable = Complete, true }), Stop},
 		{"client gone", with(func(s *State) { s.Ending, s.Repeatable = ClientGone, true }), Stop},
 		{"not sent may go elsewhere", with(func(s *State) { s.Ending, s.Runs = NotSent, 0 }), Reconnect},
 		{"refused may go elsewhere", with(func(s *State) { s.Ending, s.Runs, s.MaxRuns = Refused, 0, 1 }), Retry},
@@ -28,9 +28,9 @@
 		{"cut and not repeatable", with(func(s *State) { s.Ending = Cut }), Stop},
 		{"lost and repeatable", with(func(s *State) { s.Ending, s.Repeatable = Lost, true }), Retry},
 		{"cut and resumable", with(func(s *State) { s.Ending, s.Repeatable = Cut, true }), Retry},
-		{"attempts used up", with(func(s *State) { s.Ending, s.Repeatable, s.Runs = Lost, true, 2 }), Stop},
+		{"runs used up", with(func(s *State) { s.Ending, s.Repeatable, s.Runs = Lost, true, 2 }), Stop},
 		{"no time left", with(func(s *State) { s.Ending, s.Repeatable, s.Remaining = Lost, true, time.Millisecond }), Stop},
-		{"refused for ever", with(func(s *State) { s.Ending, s.Attempts = Refused, maxTries }), Stop},
+		{"attempts used up", with(func(s *State) { s.Ending, s.Attempts = Refused, maxAttempts }), Stop},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/core/call/call.go
+++ b/core/call/call.go
@@ -7,41 +7,41 @@
 	"rattantrack.dev/core/settings"
 )
 
-// ID identifies one request of a client through all its attempts.
+// ID identifies a client's request in all its attempts.
 type ID string
 
-// PromptBlockID identifies a part of a prompt; requests with the same part share its tokens.
+// PromptBlockID identifies a prompt block; prompts with the same block have its tokens in common.
 type PromptBlockID uint64
 
 // String returns the id in hexadecimal.
 func (p PromptBlockID) String() string { return strconv.FormatUint(uint64(p), 16) }
 
-// PromptBlock is one part of a prompt, in order from its start.
+// PromptBlock is a block of consecutive tokens of a prompt.
 type PromptBlock struct {
 	ID     PromptBlockID
 	Tokens settings.Tokens
 }
 
-// Request is what a client says of its request.
+// Request holds the properties of a request that its client states.
 type Request struct {
 	ID ID
-	// Timeout is how long the client waits, 0 where it does not say.
+	// Timeout is how long the client waits, 0 if not stated.
 	Timeout time.Duration
 	// APIKey is the client's API key, empty for none.
 	APIKey string
-	// PromptBlocks are the parts of the prompt, of which the last belongs to the request or its session.
+	// PromptBlocks lists the blocks of the prompt from its start. The last one belongs to this request or its session alone.
 	PromptBlocks []PromptBlock
-	// PromptTokens and MaxTokens are the sizes of the prompt and, at most, of the answer.
+	// PromptTokens is the size of the prompt, MaxTokens the maximum size of the answer.
 	PromptTokens settings.Tokens
 	MaxTokens    settings.Tokens
-	// LastEvent is the id of the last event that the client has of an earlier answer, empty for none.
+	// LastEvent is the id of the last event that the client received of an earlier answer, empty for none.
 	LastEvent EventID
 }
 
-// EventID is the id of an event of a stream.
+// EventID identifies an event of a stream.
 type EventID string
 
-// SharedTokens returns the tokens of the parts that other requests may share.
+// SharedTokens returns the number of tokens in all blocks but the last, which other requests may share.
 func (r *Request) SharedTokens() settings.Tokens {
 	var sum settings.Tokens
 	for i := 0; i+1 < len(r.PromptBlocks); i++ {
@@ -50,7 +50,7 @@
 	return sum
 }
 
-// SharedBlockID returns the id of the last part that other requests may share, 0 for none.
+// SharedBlockID returns the id of the last block that other requests may share, 0 for none.
 func (r *Request) SharedBlockID() PromptBlockID {
 	if len(r.PromptBlocks) < 2 {
 		return 0
@@ -58,35 +58,35 @@
 	return r.PromptBlocks[len(r.PromptBlocks)-2].ID
 }
 
-// Attempt is what an upstream is told of one attempt.
+// Attempt holds the properties of an attempt that are sent to the upstream.
 type Attempt struct {
-	// Upstream is the instance that is meant; another one at its address must refuse.
+	// Upstream is the intended instance; another instance at the same address must refuse the request.
 	Upstream settings.UpstreamID
-	// Timeout is how long the upstream may work.
+	// Timeout is how long the upstream may work on the request.
 	Timeout time.Duration
-	// Team owns the client's key, empty on public routes.
+	// Team is the owner of the client's API key, empty on public routes.
 	Team settings.TeamID
-	// LastEvent is the event after which a stream goes on, empty for a whole answer.
+	// LastEvent is the event after which the stream is to resume, empty for a complete answer.
 	LastEvent EventID
 	// Rank is the urgency of the request, where 0 is the most urgent.
 	Rank int
 }
 
-// Load is what an upstream says of its load.
+// Load is the load that an upstream reports.
 type Load struct {
 	Running, Waiting, Slots int
 }
 
-// Answer is what an upstream says beside the status and the body.
+// Answer holds what an upstream states in its answer besides the status and the body.
 type Answer struct {
-	// ID is the request that is answered, empty where the upstream does not say.
+	// ID is the id of the answered request, empty if not stated.
 	ID ID
-	// NotRun is the upstream's statement that it did not run the request and will not.
+	// NotRun means that the upstream did not run the request and will not.
 	NotRun bool
-	// Misdirected says that another instance has the address.
+	// Misdirected means that another instance than the intended one is at the address.
 	Misdirected bool
-	// Load is the upstream's load, nil where it does not say.
+	// Load is the upstream's load, nil if not stated.
 	Load *Load
-	// IdleTime is how long the upstream keeps the connection without use, 0 where it does not say.
+	// IdleTime is how long the upstream keeps an idle connection open, 0 if not stated.
 	IdleTime time.Duration
 }
--- a/core/call/doc.go
+++ b/core/call/doc.go
@@ -1,3 +1,3 @@
-// Package call holds what a router knows of a client's request, of an attempt at an upstream, and of its answer, apart
-// from the protocol that carries them.
+// Package call describes a client's request, an attempt at an upstream and its answer, independent of the header fields that
+// carry them.
 package call
--- a/core/waiting/doc.go
+++ b/core/waiting/doc.go
@@ -1,3 +1,3 @@
-// Package waiting decides whether a request waits for an upstream with room or is refused, and when a refused client
-// should come back.
+// Package waiting queues requests while no upstream has room. It refuses those that could not start in time and computes
+// when their clients should retry.
 package waiting
--- a/core/waiting/queue.go
+++ b/core/waiting/queue.go
@@ -10,22 +10,23 @@
 	"rattantrack.dev/core/settings"
 )
 
-// Times and sizes of a queue.
+// Limits and times of a queue.
 const (
-	// maxWaiting bounds the requests of one service that wait at one router.
-	maxWaiting = 256
-	// noUpstreamTime is how long a request waits while its service has no upstream: an entry or a connection that is
-	// about to come back needs less.
-	noUpstreamTime = 300 * time.Millisecond
-	// minRetryAfter and maxRetryAfter bound when a refused client should come back.
+	// maxWaiters limits the waiting requests of one service at one router.
+	maxWaiters = 256
+	// maxNoUpstreamWait limits the wait of a request whose service has no upstream. A directory entry or a connection that
+	// is about to return takes less time.
+	maxNoUpstreamWait = 300 * time.Millisecond
+	// minRetryAfter and maxRetryAfter limit the time after which a refused client should retry.
 	minRetryAfter = 200 * time.Millisecond
 	maxRetryAfter = 3 * time.Second
-	// defaultPace is the time between two ends of requests that is assumed before any has been seen.
-	defaultPace = 20 * time.Millisecond
+	// defaultEndInterval is the assumed time between the ends of two requests before any has been measured.
+	defaultEndInterval = 20 * time.Millisecond
 )
 
-// Waiter is a request that waits.
+// Waiter is a waiting request.
 type Waiter struct {
+	// Rank is the urgency of the request, where 0 is the most urgent.
 	Rank int
 	// Deadline is when the request stops waiting.
 	Deadline clock.Instant
@@ -33,111 +34,111 @@
 	ready    chan struct{}
 }
 
-// Ready is closed when the request should be placed again.
-func (t *Waiter) Ready() <-chan struct{} { return t.ready }
+// Ready returns a channel that is closed when the request should be placed again.
+func (w *Waiter) Ready() <-chan struct{} { return w.ready }
 
-// Refusal says why a request does not wait and when its client should come back.
+// Refusal is the reason why a request may not wait and the time after which its client should retry.
 type Refusal struct {
 	Reason     string
 	RetryAfter time.Duration
 }
 
-// queue is the requests of one service that wait, the most urgent first and then in order of arrival.
-type queue struct {
+// serviceQueue holds the waiting requests of one service, the most urgent first and then in order of arrival.
+type serviceQueue struct {
 	waiters []*Waiter
-	// pace is the mean time between the ends of requests here.
-	pace    time.Duration
-	lastEnd clock.Instant
+	// endInterval is the moving average of the time between the ends of requests.
+	endInterval time.Duration
+	lastEnd     clock.Instant
 }
 
-// Queues keeps the queues of all services; its zero value is empty. It answers bursts above what the upstreams can hold:
-// a short burst waits, the most urgent first, and once the queue is longer than a request can stand, the rest is refused
-// at once and told when it will have emptied.
+// Queues holds the queues of all services; the zero value is empty and ready to use. When a burst exceeds the capacity of
+// the upstreams, requests wait, the most urgent first. A request that could not start before its deadline, or finds the queue
+// full, is refused at once with the time after which the queue is expected to have room.
 type Queues struct {
 	mu      sync.Mutex
-	queues  map[settings.ServiceName]*queue
+	queues  map[settings.ServiceName]*serviceQueue
 	arrival uint64
 }
 
-func (q *Queues) queue(name settings.ServiceName) *queue {
+func (q *Queues) ofService(name settings.ServiceName) *serviceQueue {
 	if q.queues == nil {
-		q.queues = make(map[settings.ServiceName]*queue)
+		q.queues = make(map[settings.ServiceName]*serviceQueue)
 	}
-	l := q.queues[name]
-	if l == nil {
-		l = &queue{pace: defaultPace}
-		q.queues[name] = l
+	queue := q.queues[name]
+	if queue == nil {
+		queue = &serviceQueue{endInterval: defaultEndInterval}
+		q.queues[name] = queue
 	}
-	return l
+	return queue
 }
 
-// Enter puts a request in the queue, or refuses it where its turn would come too late.
-func (q *Queues) Enter(now clock.Instant, name settings.ServiceName, t *Waiter) *Refusal {
+// Enter adds a request to its service's queue, or refuses it if it would start too late.
+func (q *Queues) Enter(now clock.Instant, name settings.ServiceName, w *Waiter) *Refusal {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	l := q.queue(name)
+	queue := q.ofService(name)
 	ahead := 0
-	for _, other := range l.waiters {
-		if other.Rank <= t.Rank {
+	for _, other := range queue.waiters {
+		if other.Rank <= w.Rank {
 			ahead++
 		}
 	}
-	wait := time.Duration(ahead+1) * l.pace
-	if len(l.waiters) >= maxWaiting || now.Add(wait) > t.Deadline {
-		return &Refusal{Reason: "queue_too_long", RetryAfter: clamp(wait)}
+	wait := time.Duration(ahead+1) * queue.endInterval
+	if len(queue.waiters) >= maxWaiters || now.Add(wait) > w.Deadline {
+		return &Refusal{Reason: "queue_too_long", RetryAfter: clampRetryAfter(wait)}
 	}
 	q.arrival++
-	t.arrived = q.arrival
-	t.ready = make(chan struct{})
-	l.waiters = append(l.waiters, t)
-	slices.SortStableFunc(l.waiters, func(x, y *Waiter) int {
+	w.arrived = q.arrival
+	w.ready = make(chan struct{})
+	queue.waiters = append(queue.waiters, w)
+	slices.SortStableFunc(queue.waiters, func(x, y *Waiter) int {
 		return cmp.Or(cmp.Compare(x.Rank, y.Rank), cmp.Compare(x.arrived, y.arrived))
 	})
 	return nil
 }
 
-// Leave takes a request out of its queue.
-func (q *Queues) Leave(name settings.ServiceName, t *Waiter) {
+// Leave removes a request from its queue.
+func (q *Queues) Leave(name settings.ServiceName, w *Waiter) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	l := q.queue(name)
-	l.waiters = slices.DeleteFunc(l.waiters, func(other *Waiter) bool { return other == t })
+	queue := q.ofService(name)
+	queue.waiters = slices.DeleteFunc(queue.waiters, func(other *Waiter) bool { return other == w })
 }
 
-// RequestEnded notes that a request of the service has ended, and wakes the first in its queue.
+// RequestEnded records that a request of the service has ended, and wakes the first waiter.
 func (q *Queues) RequestEnded(now clock.Instant, name settings.ServiceName) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	l := q.queue(name)
-	if l.lastEnd != 0 {
-		gap := min(now.Sub(l.lastEnd), time.Second)
-		l.pace += (gap - l.pace) / 16
+	queue := q.ofService(name)
+	if queue.lastEnd != 0 {
+		gap := min(now.Sub(queue.lastEnd), time.Second)
+		queue.endInterval += (gap - queue.endInterval) / 16
 	}
-	l.lastEnd = now
-	if len(l.waiters) == 0 {
+	queue.lastEnd = now
+	if len(queue.waiters) == 0 {
 		return
 	}
-	first := l.waiters[0]
-	l.waiters = l.waiters[1:]
+	first := queue.waiters[0]
+	queue.waiters = queue.waiters[1:]
 	close(first.ready)
 }
 
-// Length returns the number of requests of a service that wait.
+// Length returns the number of waiting requests of a service.
 func (q *Queues) Length(name settings.ServiceName) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return len(q.queue(name).waiters)
+	return len(q.ofService(name).waiters)
 }
 
-// RetryAfter returns when a client should come back whose request waited in vain.
+// RetryAfter returns the time after which a client should retry whose request has waited without success.
 func (q *Queues) RetryAfter(name settings.ServiceName) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	l := q.queue(name)
-	return clamp(time.Duration(len(l.waiters)+1) * l.pace)
+	queue := q.ofService(name)
+	return clampRetryAfter(time.Duration(len(queue.waiters)+1) * queue.endInterval)
 }
 
-func clamp(d time.Duration) time.Duration { return min(max(d, minRetryAfter), maxRetryAfter) }
+func clampRetryAfter(d time.Duration) time.Duration { return min(max(d, minRetryAfter), maxRetryAfter) }
 
-// NoUpstreamWait returns how long a request waits while its service has no upstream.
-func NoUpstreamWait(left time.Duration) time.Duration { return min(noUpstreamTime, left/4) }
+// NoUpstreamWait returns how long a request waits while its service has no upstream, at most a quarter of the time left.
+func NoUpstreamWait(left time.Duration) time.Duration { return min(maxNoUpstreamWait, left/4) }
--- a/core/waiting/queue_test.go
+++ b/core/waiting/queue_test.go
@@ -11,46 +11,46 @@
 
 const ms = clock.Instant(time.Millisecond)
 
-func woken(t *Waiter) bool {
+func woken(w *Waiter) bool {
 	select {
-	case <-t.Ready():
+	case <-w.Ready():
 		return true
 	default:
 		return false
 	}
 }
 
-func TestMostUrgentGoesFirstAndThenTheFirstCome(t *testing.T) {
+func TestMostUrgentGoesFirstThenInOrderOfArrival(t *testing.T) {
 	c := qt.New(t)
-	var r Queues
-	late := clock.Instant(time.Minute)
-	first := &Waiter{Rank: 1, Deadline: late}
-	second := &Waiter{Rank: 1, Deadline: late}
-	urgent := &Waiter{Rank: 0, Deadline: late}
+	var queues Queues
+	deadline := clock.Instant(time.Minute)
+	first := &Waiter{Rank: 1, Deadline: deadline}
+	second := &Waiter{Rank: 1, Deadline: deadline}
+	urgent := &Waiter{Rank: 0, Deadline: deadline}
 	for _, waiter := range []*Waiter{first, second, urgent} {
-		c.Assert(r.Enter(ms, "letters", waiter), qt.IsNil)
+		c.Assert(queues.Enter(ms, "letters", waiter), qt.IsNil)
 	}
 	for i, waiter := range []*Waiter{urgent, first, second} {
 		c.Assert(woken(waiter), qt.IsFalse)
-		r.RequestEnded(clock.Instant(i+2)*ms, "letters")
+		queues.RequestEnded(clock.Instant(i+2)*ms, "letters")
 		c.Assert(woken(waiter), qt.IsTrue)
 	}
-	c.Assert(r.Length("letters"), qt.Equals, 0)
+	c.Assert(queues.Length("letters"), qt.Equals, 0)
 }
 
-// TestBurstAboveTheCapacityIsRefusedAtOnce replays 400 requests at one moment at a service that ends one each 10 ms, with
-// 400 ms to wait: those that can have their turn wait, the others are told at once when it will have emptied.
+// TestBurstAboveTheCapacityIsRefusedAtOnce sends 400 requests at once to a service that ends one every 10 ms. Each can wait
+// for 400 ms: those that can start in time wait, the others are refused at once with a time to retry.
 func TestBurstAboveTheCapacityIsRefusedAtOnce(t *testing.T) {
 	c := qt.New(t)
-	var r Queues
+	var queues Queues
 	now := clock.Instant(time.Second)
 	for range 200 {
 		now = now.Add(10 * time.Millisecond)
-		r.RequestEnded(now, "letters")
+		queues.RequestEnded(now, "letters")
 	}
 	waiting := 0
 	for range 400 {
-		refusal := r.Enter(now, "letters", &Waiter{Deadline: now.Add(400 * time.Millisecond)})
+		refusal := queues.Enter(now, "letters", &Waiter{Deadline: now.Add(400 * time.Millisecond)})
 		if refusal == nil {
 			waiting++
 			continue
@@ -63,22 +63,22 @@
 
 func TestUrgentRequestWaitsWhereOthersAreRefused(t *testing.T) {
 	c := qt.New(t)
-	var r Queues
+	var queues Queues
 	for range 40 {
-		c.Assert(r.Enter(ms, "letters", &Waiter{Rank: 2, Deadline: clock.Instant(time.Second)}), qt.IsNil)
+		c.Assert(queues.Enter(ms, "letters", &Waiter{Rank: 2, Deadline: clock.Instant(time.Second)}), qt.IsNil)
 	}
-	c.Assert(r.Enter(ms, "letters", &Waiter{Rank: 2, Deadline: 500 * ms}), qt.IsNotNil)
-	c.Assert(r.Enter(ms, "letters", &Waiter{Rank: 0, Deadline: 500 * ms}), qt.IsNil)
+	c.Assert(queues.Enter(ms, "letters", &Waiter{Rank: 2, Deadline: 500 * ms}), qt.IsNotNil)
+	c.Assert(queues.Enter(ms, "letters", &Waiter{Rank: 0, Deadline: 500 * ms}), qt.IsNil)
 }
 
-func TestLeavingTheQueue(t *testing.T) {
+func TestWaiterThatLeftIsNotWoken(t *testing.T) {
 	c := qt.New(t)
-	var r Queues
+	var queues Queues
 	a, b := &Waiter{Deadline: clock.Instant(time.Second)}, &Waiter{Deadline: clock.Instant(time.Second)}
-	c.Assert(r.Enter(ms, "letters", a), qt.IsNil)
-	c.Assert(r.Enter(ms, "letters", b), qt.IsNil)
-	r.Leave("letters", a)
-	r.RequestEnded(2*ms, "letters")
+	c.Assert(queues.Enter(ms, "letters", a), qt.IsNil)
+	c.Assert(queues.Enter(ms, "letters", b), qt.IsNil)
+	queues.Leave("letters", a)
+	queues.RequestEnded(2*ms, "letters")
 	c.Assert(woken(a), qt.IsFalse)
 	c.Assert(woken(b), qt.IsTrue)
 }
