--- a/core/affinity/batch.go
+++ b/core/affinity/batch.go
@@ -9,64 +9,67 @@
 	"rattantrack.dev/core/settings"
 )
 
-// Sizes of packed holdings.
+// Encoding of a Batch.
 const (
-	// partBytes is the size of one part's id.
-	partBytes = 8
-	// ageUnit is the unit of an age of one byte; the largest exceeds keepTime.
+	// blockIDBytes is the size of a block id.
+	blockIDBytes = 8
+	// ageUnit is the unit of an age, which takes one byte. The largest age exceeds entryLifetime.
 	ageUnit = 250 * time.Millisecond
 	maxAge  = 255
 )
 
-// Batch is the holdings of one upstream as they travel between routers: a fleet tells thousands of them a second, so an
-// entry takes 9 bytes.
+// Batch holds the cache entries of one upstream in the form that routers exchange. A fleet exchanges thousands of entries
+// a second, so each takes only 9 bytes.
 type Batch struct {
 	Upstream settings.UpstreamID
-	// Parts are the ids, of 8 bytes each in network byte order, Ages the time since each was used, of one byte in units of
-	// 250 ms.
-	Parts []byte
-	Ages  []byte
+	// Blocks holds the block ids, 8 bytes each in network byte order. Ages holds the time since the last use of each block,
+	// one byte each in units of 250 ms.
+	Blocks []byte
+	Ages   []byte
 }
 
-// MalformedBatchError reports a batch with another number of ids than of ages.
+// MalformedBatchError reports a batch whose numbers of block ids and ages differ.
 type MalformedBatchError struct {
-	Upstream         settings.UpstreamID
-	PartBytes, Count int
+	Upstream             settings.UpstreamID
+	BlockBytes, AgeCount int
 }
 
 func (e *MalformedBatchError) Error() string {
-	return fmt.Sprintf("batch of %q has %d bytes of parts for %d ages", e.Upstream, e.PartBytes, e.Count)
+	return fmt.Sprintf("batch of upstream %q has %d bytes of block ids for %d ages", e.Upstream, e.BlockBytes, e.AgeCount)
 }
 
-// Pack groups holdings by upstream.
-func Pack(list []CacheEntry) []Batch {
+// Pack groups cache entries by upstream.
+func Pack(entries []CacheEntry) []Batch {
 	index := make(map[settings.UpstreamID]int)
 	var batches []Batch
-	for _, h := range list {
-		i, ok := index[h.Upstream]
+	for _, entry := range entries {
+		i, ok := index[entry.Upstream]
 		if !ok {
 			i = len(batches)
-			index[h.Upstream] = i
-			batches = append(batches, Batch{Upstream: h.Upstream})
+			index[entry.Upstream] = i
+			batches = append(batches, Batch{Upstream: entry.Upstream})
 		}
 		b := &batches[i]
-		b.Parts = binary.BigEndian.AppendUint64(b.Parts, uint64(h.Block))
-		b.Ages = append(b.Ages, byte(min(maxAge, max(0, h.Age/ageUnit))))
+		b.Blocks = binary.BigEndian.AppendUint64(b.Blocks, uint64(entry.Block))
+		b.Ages = append(b.Ages, byte(min(maxAge, max(0, entry.Age/ageUnit))))
 	}
 	return batches
 }
 
-// Unpack returns the holdings of the batches; it stops at the first MalformedBatchError.
+// Unpack returns the cache entries of the batches. At a malformed batch it returns the entries so far and a
+// MalformedBatchError.
 func Unpack(batches []Batch) ([]CacheEntry, error) {
-	var list []CacheEntry
+	var entries []CacheEntry
 	for _, b := range batches {
-		if len(b.Parts) != partBytes*len(b.Ages) {
-			return list, &MalformedBatchError{Upstream: b.Upstream, PartBytes: len(b.Parts), Count: len(b.Ages)}
+		if len(b.Blocks) != blockIDBytes*len(b.Ages) {
+			return entries, &MalformedBatchError{Upstream: b.Upstream, BlockBytes: len(b.Blocks), AgeCount: len(b.Ages)}
 		}
 		for i, age := range b.Ages {
-			part := binary.BigEndian.Uint64(b.Parts[partBytes*i:])
-			list = append(list, CacheEntry{Block: call.PromptBlockID(part), Upstream: b.Upstream, Age: time.Duration(age) * ageUnit})
+			block := binary.BigEndian.Uint64(b.Blocks[blockIDBytes*i:])
+			entries = append(entries, CacheEntry{
+				Block: call.PromptBlockID(block), Upstream: b.Upstream, Age: time.Duration(age) * ageUnit,
+			})
 		}
 	}
-	return list, nil
+	return entries, nil
 }
--- a/core/affinity/doc.go
+++ b/core/affinity/doc.go
@@ -1,2 +1,2 @@
-// Package affinity remembers which upstreams have read which parts of prompts.
+// Package affinity records which upstreams have which prompt blocks in their caches.
 package affinity
--- a/core/inflight/doc.go
+++ b/core/inflight/doc.go
@@ -1,2 +1,2 @@
-// Package inflight counts the requests that the routers together have open at each upstream.
+// Package inflight counts the requests that all routers together have open at each upstream.
 package inflight
