--- a/core/fairqueue/doc.go
+++ b/core/fairqueue/doc.go
@@ -1,2 +1,3 @@
-// Package fairqueue orders the requests that wait at a side: by class, and within a class fairly between teams by work.
+// Package fairqueue orders the requests that wait at a side: by priority class, and within a class by weighted fair queueing
+// between teams.
 package fairqueue
--- a/core/fairqueue/scheduler.go
+++ b/core/fairqueue/scheduler.go
@@ -7,48 +7,51 @@
 	"rattantrack.dev/core/settings"
 )
 
-// Rules of the scheduler.
+// Parameters of the scheduler.
 const (
-	// patience is the number of picks after which the lowest waiting class gets one.
-	patience = 8
-	// reserveDivisor keeps one slot in this many for teams below their fair share.
+	// reverseInterval is the interval, in picks, at which the classes are served in reverse order, so that none starves.
+	reverseInterval = 8
+	// reserveDivisor reserves one in this many slots for teams below their fair share.
 	reserveDivisor = 4
-	// teamMemory is how long a team counts as active after its last request.
-	teamMemory = 30 * time.Second
-	// serviceMemory is the weight of the latest service time in the running mean.
-	serviceMemory = 0.05
+	// idleTeamLifetime is how long a team without requests counts as active.
+	idleTeamLifetime = 30 * time.Second
+	// serviceTimeWeight is the weight of the latest service time in the moving average.
+	serviceTimeWeight = 0.05
 )
 
-// Item is one request that waits for a slot or holds one.
+// Item is a request that waits for a slot or occupies one.
 type Item struct {
-	Team     settings.TeamID
+	Team settings.TeamID
+	// Share is the team's weight in fair queueing; values below 1 count as 1.
 	Share    int
 	Priority settings.Priority
-	Work     settings.Tokens
+	// Work is the expected work of the request.
+	Work settings.Tokens
 	// Deadline is when the request must have ended.
 	Deadline clock.Instant
-	// Start is called without locks held when the item gets its slot.
+	// Start is called by the caller of Pop when the item gets its slot.
 	Start func()
 
-	started clock.Instant
-	running bool
-	gone    bool
+	startedAt clock.Instant
+	gotSlot   bool
+	done      bool
 }
 
-// Started reports whether the item has had its slot.
-func (it *Item) Started() bool { return it.running }
+// Started reports whether the item has got a slot, also after Done.
+func (it *Item) Started() bool { return it.gotSlot }
 
-// team is what the scheduler knows of one team.
+// team holds the scheduler's state of one team.
 type team struct {
-	id      settings.TeamID
-	share   int
-	virtual float64
-	running int
-	last    clock.Instant
-	queues  [3][]*Item
+	id    settings.TeamID
+	share int
+	// virtualTime is the started work divided by the share.
+	virtualTime float64
+	running     int
+	lastActive  clock.Instant
+	queues      [3][]*Item
 }
 
-// Scheduler hands out a bounded number of slots; its zero value has none.
+// Scheduler assigns a limited number of slots to items; the zero value has no slots.
 type Scheduler struct {
 	Slots     int
 	MaxQueued int
@@ -57,55 +60,55 @@
 	running int
 	queued  int
 	picks   int
-	// virtual is the virtual time of the latest pick, where teams that come back begin.
-	virtual float64
-	service time.Duration
+	// virtualTime is that of the latest pick, at which a team that was idle continues.
+	virtualTime     float64
+	meanServiceTime time.Duration
 }
 
 // Running returns the number of slots in use.
 func (s *Scheduler) Running() int { return s.running }
 
-// Queued returns the number of items waiting.
+// Queued returns the number of waiting items.
 func (s *Scheduler) Queued() int { return s.queued }
 
-func classOf(p settings.Priority) int {
-	for i, have := range settings.Priorities {
-		if have == p {
+func classIndex(p settings.Priority) int {
+	for i, priority := range settings.Priorities {
+		if priority == p {
 			return i
 		}
 	}
 	return len(settings.Priorities) - 1
 }
 
-// Wait estimates how long a new item would wait for a slot.
+// Wait returns the expected time that a new item waits for a slot.
 func (s *Scheduler) Wait() time.Duration {
 	if s.running < s.Slots && s.queued == 0 {
 		return 0
 	}
 	if s.Slots == 0 {
-		return s.service
+		return s.meanServiceTime
 	}
-	return s.service * time.Duration(s.queued+1) / time.Duration(s.Slots)
+	return s.meanServiceTime * time.Duration(s.queued+1) / time.Duration(s.Slots)
 }
 
-// Push takes an item in; it reports false when the queue is full or the item would miss its deadline.
+// Push adds an item to the queue. It reports false if the queue is full or the item's deadline would pass while it waits.
 func (s *Scheduler) Push(now clock.Instant, it *Item) bool {
 	if s.queued >= s.MaxQueued || it.Deadline.Before(now.Add(s.Wait())) {
 		return false
 	}
-	t := s.team(it)
-	t.last = now
-	class := classOf(it.Priority)
-	if t.waiting() == 0 && t.virtual < s.virtual {
-		// A team that was idle has saved up nothing.
-		t.virtual = s.virtual
+	t := s.teamOf(it)
+	t.lastActive = now
+	class := classIndex(it.Priority)
+	if t.waiting() == 0 && t.virtualTime < s.virtualTime {
+		// A team gets no credit for the time in which it was idle.
+		t.virtualTime = s.virtualTime
 	}
 	t.queues[class] = append(t.queues[class], it)
 	s.queued++
 	return true
 }
 
-func (s *Scheduler) team(it *Item) *team {
+func (s *Scheduler) teamOf(it *Item) *team {
 	if s.teams == nil {
 		s.teams = make(map[settings.TeamID]*team)
 	}
@@ -122,30 +125,30 @@
 	return len(t.queues[0]) + len(t.queues[1]) + len(t.queues[2])
 }
 
-// Pop gives a slot to the next item, or returns nil when none may start.
+// Pop assigns a slot to the next item and returns it, or nil if none may start.
 func (s *Scheduler) Pop(now clock.Instant) *Item {
 	if s.running >= s.Slots || s.queued == 0 {
 		return nil
 	}
-	s.forget(now)
-	for _, class := range s.classes() {
-		if t := s.next(class); t != nil {
-			return s.take(now, t, class)
+	s.dropIdleTeams(now)
+	for _, class := range s.classOrder() {
+		if t := s.nextTeam(class); t != nil {
+			return s.start(now, t, class)
 		}
 	}
 	return nil
 }
 
-// classes returns the order in which the classes are looked at.
-func (s *Scheduler) classes() [3]int {
-	if s.picks%patience == patience-1 {
+// classOrder returns the indexes of the priority classes in the order in which this pick serves them.
+func (s *Scheduler) classOrder() [3]int {
+	if s.picks%reverseInterval == reverseInterval-1 {
 		return [3]int{2, 1, 0}
 	}
 	return [3]int{0, 1, 2}
 }
 
-// next returns the team with the least work served for its share that may start an item of the class.
-func (s *Scheduler) next(class int) *team {
+// nextTeam returns the team that may start an item of the class and has the lowest virtual time, or nil.
+func (s *Scheduler) nextTeam(class int) *team {
 	var best *team
 	for _, t := range s.teams {
 		if len(t.queues[class]) == 0 || !s.mayStart(t) {
@@ -158,12 +161,12 @@
 	return best
 }
 
-// before orders teams by the work they were served for their share, and by name where that is equal.
+// before orders teams by virtual time and then by name.
 func (t *team) before(other *team) bool {
-	return t.virtual < other.virtual || t.virtual == other.virtual && t.id < other.id
+	return t.virtualTime < other.virtualTime || t.virtualTime == other.virtualTime && t.id < other.id
 }
 
-// mayStart keeps the last free slots for teams that use less than their fair share.
+// mayStart reports whether the team may take a slot. The last free slots are reserved for teams below their fair share.
 func (s *Scheduler) mayStart(t *team) bool {
 	reserve := s.Slots / reserveDivisor
 	if len(s.teams) < 2 || s.running < s.Slots-reserve {
@@ -176,49 +179,49 @@
 	return t.running*total < s.Slots*t.share
 }
 
-func (s *Scheduler) take(now clock.Instant, t *team, class int) *Item {
+func (s *Scheduler) start(now clock.Instant, t *team, class int) *Item {
 	it := t.queues[class][0]
 	t.queues[class][0] = nil
 	t.queues[class] = t.queues[class][1:]
 	s.queued--
 	s.picks++
-	s.virtual = max(s.virtual, t.virtual)
-	t.virtual += float64(it.Work) / float64(t.share)
+	s.virtualTime = max(s.virtualTime, t.virtualTime)
+	t.virtualTime += float64(it.Work) / float64(t.share)
 	t.running++
 	s.running++
-	it.running = true
-	it.started = now
+	it.gotSlot = true
+	it.startedAt = now
 	return it
 }
 
-// Done gives back the slot of an item, or takes it out of the queue.
+// Done releases the slot of an item, or removes the item from the queue; further calls do nothing.
 func (s *Scheduler) Done(now clock.Instant, it *Item) {
-	if it.gone {
+	if it.done {
 		return
 	}
-	it.gone = true
+	it.done = true
 	t := s.teams[it.Team]
-	if !it.running {
-		s.remove(t, it)
+	if !it.gotSlot {
+		s.dequeue(t, it)
 		return
 	}
 	t.running--
-	t.last = now
+	t.lastActive = now
 	s.running--
-	took := now.Sub(it.started)
-	if s.service == 0 {
-		s.service = took
+	serviceTime := now.Sub(it.startedAt)
+	if s.meanServiceTime == 0 {
+		s.meanServiceTime = serviceTime
 	}
-	s.service += time.Duration(serviceMemory * float64(took-s.service))
+	s.meanServiceTime += time.Duration(serviceTimeWeight * float64(serviceTime-s.meanServiceTime))
 }
 
-func (s *Scheduler) remove(t *team, it *Item) {
+func (s *Scheduler) dequeue(t *team, it *Item) {
 	if t == nil {
 		return
 	}
-	class := classOf(it.Priority)
-	for i, have := range t.queues[class] {
-		if have == it {
+	class := classIndex(it.Priority)
+	for i, queued := range t.queues[class] {
+		if queued == it {
 			t.queues[class] = append(t.queues[class][:i], t.queues[class][i+1:]...)
 			s.queued--
 			return
@@ -226,10 +229,10 @@
 	}
 }
 
-// forget drops teams that have been quiet for a while.
-func (s *Scheduler) forget(now clock.Instant) {
+// dropIdleTeams drops teams without requests for longer than idleTeamLifetime.
+func (s *Scheduler) dropIdleTeams(now clock.Instant) {
 	for id, t := range s.teams {
-		if t.running == 0 && t.waiting() == 0 && now.Sub(t.last) > teamMemory {
+		if t.running == 0 && t.waiting() == 0 && now.Sub(t.lastActive) > idleTeamLifetime {
 			delete(s.teams, id)
 		}
 	}
--- a/core/fairqueue/scheduler_test.go
+++ b/core/fairqueue/scheduler_test.go
@@ -15,7 +15,7 @@
 	return &Item{Team: team, Share: 1, Priority: p, Work: 100, Deadline: clock.Instant(time.Hour)}
 }
 
-// serve runs one slot for n picks and counts who was served.
+// serve runs up to n items one after the other and counts them by team and by class.
 func serve(s *Scheduler, n int) (byTeam map[settings.TeamID]int, byClass map[settings.Priority]int) {
 	byTeam = make(map[settings.TeamID]int)
 	byClass = make(map[settings.Priority]int)
@@ -58,7 +58,7 @@
 	c.Assert(classes[settings.PriorityPatient], qt.Equals, 10)
 }
 
-func TestSlotsAreKeptForTeamsBelowTheirShare(t *testing.T) {
+func TestSlotsAreReservedForTeamsBelowTheirShare(t *testing.T) {
 	c := qt.New(t)
 	s := &Scheduler{Slots: 8, MaxQueued: 100}
 	s.Push(0, item("calm", settings.PriorityNormal))
@@ -76,7 +76,7 @@
 
 func TestItemThatWouldMissItsDeadlineIsRefused(t *testing.T) {
 	c := qt.New(t)
-	s := &Scheduler{Slots: 1, MaxQueued: 100, service: time.Minute}
+	s := &Scheduler{Slots: 1, MaxQueued: 100, meanServiceTime: time.Minute}
 	running := item("a", settings.PriorityNormal)
 	s.Push(0, running)
 	s.Pop(0)
@@ -85,7 +85,7 @@
 	c.Assert(s.Push(0, late), qt.IsFalse)
 }
 
-func TestCountsAreKept(t *testing.T) {
+func TestRunningAndQueuedStayConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &Scheduler{Slots: rapid.IntRange(1, 6).Draw(t, "slots"), MaxQueued: 20}
 		var waiting, running []*Item
--- a/core/rendezvous/doc.go
+++ b/core/rendezvous/doc.go
@@ -1,2 +1,2 @@
-// Package rendezvous orders the upstreams of a service for a chat by rendezvous hashing.
+// Package rendezvous orders upstreams for a key by rendezvous hashing.
 package rendezvous
--- a/core/rendezvous/rank.go
+++ b/core/rendezvous/set.go
@@ -8,16 +8,16 @@
 	"rattantrack.dev/core/settings"
 )
 
-// MaxTop is the largest number of upstreams that Top returns.
+// MaxTop is the maximum number of upstreams that Top returns.
 const MaxTop = 8
 
-// Set is an immutable set of upstreams to rank; its zero value is empty.
+// Set is an immutable set of upstreams; the zero value is empty.
 type Set struct {
 	ids   []settings.UpstreamID
 	seeds []uint64
 }
 
-// New returns the set of the given upstreams, whatever their order.
+// New returns the set of the given upstreams; their order does not matter.
 func New(ids []settings.UpstreamID) *Set {
 	s := &Set{ids: slices.Clone(ids)}
 	slices.Sort(s.ids)
@@ -35,7 +35,7 @@
 // IDs returns the upstreams in sorted order; callers must not change it.
 func (s *Set) IDs() []settings.UpstreamID { return s.ids }
 
-// Home returns the first upstream for a key, by highest random weight (Thaler and Ravishankar, 1998).
+// Home returns the primary of a key, the upstream with the highest random weight (Thaler and Ravishankar, 1998).
 func (s *Set) Home(key uint64) (settings.UpstreamID, bool) {
 	var out [1]settings.UpstreamID
 	if s.Top(key, out[:]) == 0 {
@@ -44,7 +44,7 @@
 	return out[0], true
 }
 
-// Top fills out with the first upstreams for a key, best first, and returns their number.
+// Top fills out with the upstreams that rank first for a key, best first, and returns their number.
 func (s *Set) Top(key uint64, out []settings.UpstreamID) int {
 	k := min(len(out), MaxTop, len(s.ids))
 	if k == 0 {
@@ -66,7 +66,7 @@
 	return n
 }
 
-// insert places index i by its score and returns the new length, at most k.
+// insert adds index i to the descending list of best scores and returns the new length, at most k.
 func insert(best *[MaxTop]int, scores *[MaxTop]uint64, n, k, i int, score uint64) int {
 	if n < k {
 		n++
--- a/core/rendezvous/rank_test.go
+++ b/core/rendezvous/set_test.go
@@ -19,7 +19,7 @@
 	return ids
 }
 
-// naiveTop sorts every upstream by its score.
+// naiveTop computes Top by sorting all upstreams by score.
 func naiveTop(s *Set, key uint64, k int) []settings.UpstreamID {
 	order := make([]int, len(s.ids))
 	for i := range order {
@@ -51,7 +51,7 @@
 	})
 }
 
-func TestRemovingAnUpstreamMovesOnlyItsOwnKeys(t *testing.T) {
+func TestRemovingAnUpstreamMovesOnlyItsKeys(t *testing.T) {
 	c := qt.New(t)
 	ids := upstreams(20)
 	before := New(ids)
