--- a/core/unresponsive/bench_test.go
+++ b/core/unresponsive/bench_test.go
@@ -8,23 +8,23 @@
 	"rattantrack.dev/core/settings"
 )
 
-// BenchmarkSilent judges the upstreams of one request, as each placement does, where all of them answer.
-func BenchmarkSilent(b *testing.B) {
+// BenchmarkUnresponsive checks the upstreams of one request, as each placement does, while all of them respond.
+func BenchmarkUnresponsive(b *testing.B) {
 	for _, size := range []struct{ routers, engines int }{{28, 52}, {300, 3000}} {
 		b.Run(fmt.Sprintf("%d routers, %d engines", size.routers, size.engines), func(b *testing.B) {
 			var d Detector
 			open := make(inflight.Counts)
-			var list []settings.UpstreamID
+			var engineIDs []settings.UpstreamID
 			for e := range size.engines {
 				id := settings.UpstreamID(fmt.Sprintf("e%04d", e))
-				list = append(list, id)
+				engineIDs = append(engineIDs, id)
 				open[id] = 1
 			}
 			for r := range size.routers {
 				d.Report(1000*ms, inflight.RouterID(fmt.Sprint(r)), open, nil)
 			}
 			for b.Loop() {
-				d.Unresponsive(1100*ms, list)
+				d.Unresponsive(1100*ms, engineIDs)
 			}
 		})
 	}
--- a/core/unresponsive/detector.go
+++ b/core/unresponsive/detector.go
@@ -10,70 +10,77 @@
 	"rattantrack.dev/core/settings"
 )
 
-// Times of the judgement.
+// Timing and limits of the detection.
 const (
-	// ResponseTimeout is how long nothing may come from an upstream at a router that waits for it: an engine that reads the
-	// longest prompt answers nobody for 450 ms, and plain services answer in tens of milliseconds.
+	// ResponseTimeout is how long a router with open requests at an upstream gets no response before it suspects the
+	// upstream. An engine that processes the longest prompt sends nothing for 450 ms, and plain services respond within
+	// tens of milliseconds.
 	ResponseTimeout = 700 * time.Millisecond
-	// holdTime is how long an upstream gets no requests after it was found silent, unless it is heard.
-	holdTime = 2 * time.Second
-	// reportTime is how long another router's word is believed.
-	reportTime = 1500 * time.Millisecond
-	// maxSilent is the largest part of a service that may be left out: a router that hears nothing from most upstreams
-	// has lost its own path.
-	maxSilent = 0.5
+	// exclusionTime is how long an upstream gets no requests after it was last detected as unresponsive, unless it
+	// responds earlier.
+	exclusionTime = 2 * time.Second
+	// reportLifetime is how long the observations of another router are used.
+	reportLifetime = 1500 * time.Millisecond
+	// maxExcludedShare is the largest share of a service's upstreams that may be excluded. A router that gets no
+	// response from most upstreams has lost its own network path.
+	maxExcludedShare = 0.5
 )
 
-// Observation is what one router hears of one upstream.
+// Observation is the state of one upstream as one router sees it.
 type Observation struct {
-	// QuietMS is the time in milliseconds since the router heard the upstream or, where Heard is false, began to wait.
-	QuietMS uint16
-	// Waiting says that the router has requests open there.
-	Waiting, Heard bool
+	// NoResponseMS is the time in milliseconds since the last response or, if Responded is false, since the router
+	// began to wait.
+	NoResponseMS uint16
+	// Waiting is set while the router has open requests at the upstream. Responded is set if a response has arrived,
+	// for a waiting router since it began to wait.
+	Waiting, Responded bool
 }
 
-func (s Observation) quiet() time.Duration { return time.Duration(s.QuietMS) * time.Millisecond }
+func (o Observation) noResponse() time.Duration {
+	return time.Duration(o.NoResponseMS) * time.Millisecond
+}
 
-// Observations is what one router hears of the upstreams.
+// Observations is the state of the upstreams as one router sees it.
 type Observations map[settings.UpstreamID]Observation
 
-// upstream is what this router knows of one upstream.
+// upstream is this router's own state of one upstream.
 type upstream struct {
 	open int
-	// opened is when the oldest of the requests that are open without a break began, heard when a byte last came.
-	opened, heard clock.Instant
-	// found is when it was last found silent, 0 for not.
-	found clock.Instant
+	// openSince is when the number of open requests last rose from zero, lastResponse is when bytes last arrived.
+	openSince, lastResponse clock.Instant
+	// detectedAt is when the upstream was last detected as unresponsive, 0 if it has responded since or never was.
+	detectedAt clock.Instant
 }
 
-// sign returns the state as other routers should know it.
-func (u *upstream) sign(now clock.Instant) Observation {
-	s := Observation{Waiting: u.open > 0, Heard: u.heard != 0 && (u.open == 0 || u.heard >= u.opened)}
-	since := u.opened
-	if s.Heard {
-		since = u.heard
+// observation returns the state to report to other routers.
+func (u *upstream) observation(now clock.Instant) Observation {
+	o := Observation{Waiting: u.open > 0, Responded: u.lastResponse != 0 && (u.open == 0 || u.lastResponse >= u.openSince)}
+	since := u.openSince
+	if o.Responded {
+		since = u.lastResponse
 	}
-	s.QuietMS = uint16(min(math.MaxUint16, now.Sub(since).Milliseconds()))
-	return s
+	o.NoResponseMS = uint16(min(math.MaxUint16, now.Sub(since).Milliseconds()))
+	return o
 }
 
-// report is what another router said last.
+// report holds the latest observations received from another router.
 type report struct {
-	at    clock.Instant
-	signs Observations
+	at           clock.Instant
+	observations Observations
 }
 
-// Detector judges the upstreams; its zero value knows none. It answers upstreams that go dark while their connections stay
-// open: each router has a few requests there and would learn of it only when these time out, one after the other.
+// Detector decides which upstreams are unresponsive; its zero value is ready to use. An upstream may stop responding
+// while its connections stay open. Each router has only a few requests there and would notice only when these time out
+// one after the other, so the routers combine their observations.
 type Detector struct {
-	// OnChange hears of each upstream that is found silent or heard again.
-	OnChange func(id settings.UpstreamID, silent bool)
+	// OnChange is called for each upstream that becomes unresponsive or responds again.
+	OnChange func(id settings.UpstreamID, unresponsive bool)
 
 	mu        sync.Mutex
 	upstreams map[settings.UpstreamID]*upstream
-	others    map[inflight.RouterID]report
-	// suspected is when a router last said that it waits for an upstream in vain.
-	suspected map[settings.UpstreamID]clock.Instant
+	reports   map[inflight.RouterID]report
+	// suspectedAt is when a router last reported a wait of at least ResponseTimeout.
+	suspectedAt map[settings.UpstreamID]clock.Instant
 }
 
 func (d *Detector) get(id settings.UpstreamID) *upstream {
@@ -88,31 +95,31 @@
 	return u
 }
 
-// Begin notes a request that is sent to an upstream.
+// Begin records a request that is sent to an upstream.
 func (d *Detector) Begin(now clock.Instant, id settings.UpstreamID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	u := d.get(id)
 	if u.open == 0 {
-		u.opened = now
+		u.openSince = now
 	}
 	u.open++
 }
 
-// ResponseReceived notes that bytes have come from an upstream.
+// ResponseReceived records that bytes have arrived from an upstream.
 func (d *Detector) ResponseReceived(now clock.Instant, id settings.UpstreamID) {
 	d.mu.Lock()
 	u := d.get(id)
-	u.heard = now
-	again := u.found != 0
-	u.found = 0
+	u.lastResponse = now
+	recovered := u.detectedAt != 0
+	u.detectedAt = 0
 	d.mu.Unlock()
-	if again {
-		d.changed(id, false)
+	if recovered {
+		d.notify(id, false)
 	}
 }
 
-// End notes that a request has ended, however it did.
+// End records the end of a request, whatever its outcome.
 func (d *Detector) End(id settings.UpstreamID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -120,144 +127,145 @@
 	u.open = max(0, u.open-1)
 }
 
-// Forget drops what is known of an upstream that has ended or started anew.
+// Forget removes the state of an upstream that has ended or restarted.
 func (d *Detector) Forget(id settings.UpstreamID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.upstreams, id)
-	delete(d.suspected, id)
-	for _, r := range d.others {
-		delete(r.signs, id)
+	delete(d.suspectedAt, id)
+	for _, r := range d.reports {
+		delete(r.observations, id)
 	}
 }
 
-// Local returns what other routers should hear of the upstreams. An upstream that answers the requests open there is left
-// out, which most are: it goes without saying for one with open requests.
+// Local returns the observations to report to other routers. It omits idle upstreams without a recent response and
+// those that respond to their open requests, as most do; Report assumes the latter for every upstream with open requests.
 func (d *Detector) Local(now clock.Instant) Observations {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	signs := make(Observations)
+	observations := make(Observations)
 	for id, u := range d.upstreams {
-		s := u.sign(now)
-		if (s.Waiting && !s.hears(0)) || (!s.Waiting && s.hears(0)) {
-			signs[id] = s
+		o := u.observation(now)
+		if (o.Waiting && !o.responsive(0)) || (!o.Waiting && o.responsive(0)) {
+			observations[id] = o
 		}
 	}
-	return signs
+	return observations
 }
 
-// Report takes in what another router hears, and the requests that it has open.
-func (d *Detector) Report(now clock.Instant, from inflight.RouterID, open inflight.Counts, signs Observations) {
-	if signs == nil {
-		signs = make(Observations, len(open))
+// Report stores the observations of another router and the requests that it has open.
+func (d *Detector) Report(now clock.Instant, from inflight.RouterID, open inflight.Counts, observations Observations) {
+	if observations == nil {
+		observations = make(Observations, len(open))
 	}
 	for id := range open {
-		if _, ok := signs[id]; !ok {
-			signs[id] = Observation{Waiting: true, Heard: true}
+		if _, ok := observations[id]; !ok {
+			observations[id] = Observation{Waiting: true, Responded: true}
 		}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.others == nil {
-		d.others = make(map[inflight.RouterID]report)
-		d.suspected = make(map[settings.UpstreamID]clock.Instant)
+	if d.reports == nil {
+		d.reports = make(map[inflight.RouterID]report)
+		d.suspectedAt = make(map[settings.UpstreamID]clock.Instant)
 	}
-	for id, s := range signs {
-		if s.inVain() {
-			d.suspected[id] = now
+	for id, o := range observations {
+		if o.timedOut() {
+			d.suspectedAt[id] = now
 		}
 	}
-	d.others[from] = report{at: now, signs: signs}
+	d.reports[from] = report{at: now, observations: observations}
 }
 
-// Unresponsive reports, for each upstream of one service in the order given, whether it should get no requests now.
+// Unresponsive reports, for each of a service's upstreams in the given order, whether it should get no requests now.
 func (d *Detector) Unresponsive(now clock.Instant, ids []settings.UpstreamID) []bool {
-	silent, found := d.silent(now, ids)
-	for _, id := range found {
-		d.changed(id, true)
+	excluded, detected := d.detect(now, ids)
+	for _, id := range detected {
+		d.notify(id, true)
 	}
-	return silent
+	return excluded
 }
 
-// silent also returns the upstreams that have just been found.
-func (d *Detector) silent(now clock.Instant, ids []settings.UpstreamID) (silent []bool, found []settings.UpstreamID) {
+// detect does the work of Unresponsive and also returns the newly detected upstreams.
+func (d *Detector) detect(now clock.Instant, ids []settings.UpstreamID) (excluded []bool, detected []settings.UpstreamID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	silent = make([]bool, len(ids))
-	judged := make([]bool, len(ids))
-	n := 0
+	excluded = make([]bool, len(ids))
+	unresponsive := make([]bool, len(ids))
+	excludedCount := 0
 	for i, id := range ids {
 		u := d.get(id)
-		judged[i] = d.judge(now, id, u)
-		silent[i] = judged[i] || (u.found != 0 && now.Sub(u.found) < holdTime)
-		if silent[i] {
-			n++
+		unresponsive[i] = d.isUnresponsive(now, id, u)
+		excluded[i] = unresponsive[i] || (u.detectedAt != 0 && now.Sub(u.detectedAt) < exclusionTime)
+		if excluded[i] {
+			excludedCount++
 		}
 	}
-	if float64(n) > maxSilent*float64(len(ids)) {
-		clear(silent)
-		return silent, nil
+	if float64(excludedCount) > maxExcludedShare*float64(len(ids)) {
+		clear(excluded)
+		return excluded, nil
 	}
 	for i, id := range ids {
-		if !judged[i] {
+		if !unresponsive[i] {
 			continue
 		}
 		u := d.get(id)
-		if u.found == 0 {
-			found = append(found, id)
+		if u.detectedAt == 0 {
+			detected = append(detected, id)
 		}
-		u.found = now
+		u.detectedAt = now
 	}
-	return silent, found
+	return excluded, detected
 }
 
-// judge reports whether one router waits for an upstream in vain and no other hears it. A router that waits speaks for
-// the time of its report, so that a slow exchange never makes a busy upstream look silent.
-func (d *Detector) judge(now clock.Instant, id settings.UpstreamID, u *upstream) bool {
-	own := u.sign(now)
-	if own.hears(0) {
+// isUnresponsive reports whether a router has waited for an upstream for at least ResponseTimeout while no router
+// reports a recent response. The observation of a waiting router counts as of its report, so that a slow exchange
+// between routers does not make a busy upstream look unresponsive.
+func (d *Detector) isUnresponsive(now clock.Instant, id settings.UpstreamID, u *upstream) bool {
+	own := u.observation(now)
+	if own.responsive(0) {
 		return false
 	}
-	vain := own.inVain()
-	if at, ok := d.suspected[id]; !vain && (!ok || now.Sub(at) >= reportTime) {
-		// Nobody waits in vain, which holds for nearly every upstream; the reports need not be looked through.
+	timedOut := own.timedOut()
+	if at, ok := d.suspectedAt[id]; !timedOut && (!ok || now.Sub(at) >= reportLifetime) {
+		// No router suspects the upstream, which is the usual case, so the reports of all routers are not searched.
 		return false
 	}
-	for from, r := range d.others {
+	for from, r := range d.reports {
 		age := now.Sub(r.at)
-		if age >= reportTime {
-			delete(d.others, from)
+		if age >= reportLifetime {
+			delete(d.reports, from)
 			continue
 		}
-		s, ok := r.signs[id]
+		o, ok := r.observations[id]
 		if !ok {
 			continue
 		}
-		if s.hears(age) {
+		if o.responsive(age) {
 			return false
 		}
-		vain = vain || s.inVain()
+		timedOut = timedOut || o.timedOut()
 	}
-	return vain
+	return timedOut
 }
 
-// inVain reports whether a sign shows a router that waits for too long.
-func (s Observation) inVain() bool { return s.Waiting && s.quiet() >= ResponseTimeout }
+// timedOut reports whether the router has waited for at least ResponseTimeout without a response.
+func (o Observation) timedOut() bool { return o.Waiting && o.noResponse() >= ResponseTimeout }
 
-// hears reports whether a sign shows that the upstream answers: a router that waits for it has heard it shortly before its
-// word, or one that does not wait has heard it shortly before now.
-func (s Observation) hears(age time.Duration) bool {
-	if !s.Heard {
+// responsive reports whether the observation, made age ago, shows a recent response: for a waiting router recent as of
+// its report, else recent as of now.
+func (o Observation) responsive(age time.Duration) bool {
+	if !o.Responded {
 		return false
 	}
-	if s.Waiting {
-		return s.quiet() < ResponseTimeout/2
+	if o.Waiting {
+		return o.noResponse() < ResponseTimeout/2
 	}
-	return s.quiet()+age < ResponseTimeout
+	return o.noResponse()+age < ResponseTimeout
 }
 
-func (d *Detector) changed(id settings.UpstreamID, silent bool) {
+func (d *Detector) notify(id settings.UpstreamID, unresponsive bool) {
 	if d.OnChange != nil {
-		d.OnChange(id, silent)
+		d.OnChange(id, unresponsive)
 	}
 }
--- a/core/unresponsive/detector_test.go
+++ b/core/unresponsive/detector_test.go
@@ -16,20 +16,20 @@
 
 var ids = []settings.UpstreamID{"a", "b", "c"}
 
-func TestSilent(t *testing.T) {
+func TestUnresponsive(t *testing.T) {
 	tests := []struct {
-		name string
-		play func(d *Detector)
-		want bool
+		name  string
+		setup func(d *Detector)
+		want  bool
 	}{
 		{"no request is open", func(*Detector) {}, false},
 		{"a request has just begun", func(d *Detector) { d.Begin(1500*ms, "a") }, false},
-		{"nothing has come for long", func(d *Detector) { d.Begin(1000*ms, "a") }, true},
+		{"no response for a long time", func(d *Detector) { d.Begin(1000*ms, "a") }, true},
 		{"a later request does not hide an older one", func(d *Detector) {
 			d.Begin(1000*ms, "a")
 			d.Begin(1900*ms, "a")
 		}, true},
-		{"an event has just come", func(d *Detector) {
+		{"an event has just arrived", func(d *Detector) {
 			d.Begin(1000*ms, "a")
 			d.ResponseReceived(1900*ms, "a")
 		}, false},
@@ -37,34 +37,34 @@
 			d.Begin(1000*ms, "a")
 			d.ResponseReceived(1200*ms, "a")
 		}, true},
-		{"another router that waits too hears it", func(d *Detector) {
+		{"another waiting router gets responses", func(d *Detector) {
 			d.Begin(1000*ms, "a")
-			d.Report(1000*ms, "r2", nil, Observations{"a": {QuietMS: 40, Waiting: true, Heard: true}})
+			d.Report(1000*ms, "r2", nil, Observations{"a": {NoResponseMS: 40, Waiting: true, Responded: true}})
 		}, false},
-		{"another router has open requests there and says nothing of them", func(d *Detector) {
+		{"another router has open requests and omits the upstream", func(d *Detector) {
 			d.Begin(1000*ms, "a")
 			d.Report(1900*ms, "r2", inflight.Counts{"a": 2}, nil)
 		}, false},
-		{"another router has heard it and waits no more", func(d *Detector) {
+		{"another router got a response and no longer waits", func(d *Detector) {
 			d.Begin(1000*ms, "a")
-			d.Report(1900*ms, "r2", nil, Observations{"a": {QuietMS: 100, Heard: true}})
+			d.Report(1900*ms, "r2", nil, Observations{"a": {NoResponseMS: 100, Responded: true}})
 		}, false},
-		{"another router waits in vain too", func(d *Detector) {
+		{"another router has waited too long as well", func(d *Detector) {
 			d.Begin(1000*ms, "a")
-			d.Report(1900*ms, "r2", nil, Observations{"a": {QuietMS: 800, Waiting: true, Heard: true}})
+			d.Report(1900*ms, "r2", nil, Observations{"a": {NoResponseMS: 800, Waiting: true, Responded: true}})
 		}, true},
 		{"another router has just begun to wait", func(d *Detector) {
 			d.Begin(1000*ms, "a")
-			d.Report(1900*ms, "r2", nil, Observations{"a": {QuietMS: 10, Waiting: true}})
+			d.Report(1900*ms, "r2", nil, Observations{"a": {NoResponseMS: 10, Waiting: true}})
 		}, true},
-		{"only another router waits in vain", func(d *Detector) {
-			d.Report(1900*ms, "r2", nil, Observations{"a": {QuietMS: 800, Waiting: true}})
+		{"only another router has waited too long", func(d *Detector) {
+			d.Report(1900*ms, "r2", nil, Observations{"a": {NoResponseMS: 800, Waiting: true}})
 		}, true},
 		{"all requests have ended", func(d *Detector) {
 			d.Begin(1000*ms, "a")
 			d.End("a")
 		}, false},
-		{"the instance has started anew", func(d *Detector) {
+		{"the instance has restarted", func(d *Detector) {
 			d.Begin(1000*ms, "a")
 			d.Forget("a")
 		}, false},
@@ -72,13 +72,13 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := &Detector{}
-			tt.play(d)
+			tt.setup(d)
 			qt.New(t).Assert(d.Unresponsive(2000*ms, ids), qt.DeepEquals, []bool{tt.want, false, false})
 		})
 	}
 }
 
-func TestRouterThatHearsNobodyLeavesNobodyOut(t *testing.T) {
+func TestRouterWithoutAnyResponseExcludesNone(t *testing.T) {
 	var d Detector
 	for _, id := range ids {
 		d.Begin(1000*ms, id)
@@ -86,11 +86,11 @@
 	qt.New(t).Assert(d.Unresponsive(2000*ms, ids), qt.DeepEquals, []bool{false, false, false})
 }
 
-func TestSilentUpstreamIsTriedAgainAndHeard(t *testing.T) {
+func TestUnresponsiveUpstreamIsRetriedAndResponds(t *testing.T) {
 	c := qt.New(t)
 	var changes []string
-	d := Detector{OnChange: func(id settings.UpstreamID, silent bool) {
-		changes = append(changes, fmt.Sprint(id, silent))
+	d := Detector{OnChange: func(id settings.UpstreamID, unresponsive bool) {
+		changes = append(changes, fmt.Sprint(id, unresponsive))
 	}}
 	d.Begin(1000*ms, "a")
 	c.Assert(d.Unresponsive(2000*ms, ids)[0], qt.IsTrue)
@@ -103,59 +103,60 @@
 	c.Assert(changes, qt.DeepEquals, []string{"atrue", "afalse"})
 }
 
-// TestDarkEnginesGetLittle replays 28 routers before 52 engines of which nine go dark at once, with the routers' words
-// 340 ms old: once they are found, they get no more requests, and no engine that answers is left out.
-func TestDarkEnginesGetLittle(t *testing.T) {
+// TestUnresponsiveEnginesGetNoRequests simulates 28 routers and 52 engines of which nine stop responding at once, with
+// reports between the routers every 340 ms. Once the engines can have been detected, they get no more requests, and no
+// engine that responds is excluded.
+func TestUnresponsiveEnginesGetNoRequests(t *testing.T) {
 	c := qt.New(t)
-	const routers, engines, dark = 28, 52, 9
-	var list []settings.UpstreamID
+	const routers, engines, failed = 28, 52, 9
+	var engineIDs []settings.UpstreamID
 	for e := range engines {
-		list = append(list, settings.UpstreamID(fmt.Sprintf("e%02d", e)))
+		engineIDs = append(engineIDs, settings.UpstreamID(fmt.Sprintf("e%02d", e)))
 	}
-	ds := make([]Detector, routers)
-	const darkAt, end, step, exchange = 2000, 6000, 20, 340
-	wasted, wrong := 0, 0
+	detectors := make([]Detector, routers)
+	const failedAt, end, step, reportInterval = 2000, 6000, 20, 340
+	wastedRequests, wronglyExcluded := 0, 0
 	for at := 0; at < end; at += step {
 		now := clock.Instant(at+1) * ms
-		for r := range ds {
-			for e, id := range list {
-				isDark := e < dark && at >= darkAt
-				// Each router has a request at about a third of the engines, and engines send an event each 60 ms.
+		for r := range detectors {
+			for e, id := range engineIDs {
+				isFailed := e < failed && at >= failedAt
+				// Each router has a request at about a third of the engines, and engines send an event every 60 ms.
 				if (r+e+at/step)%30 == 0 {
-					if ds[r].Unresponsive(now, list)[e] {
-						wrong += btoi(!isDark)
+					if detectors[r].Unresponsive(now, engineIDs)[e] {
+						wronglyExcluded += btoi(!isFailed)
 						continue
 					}
-					wasted += btoi(isDark && at > darkAt+int(ResponseTimeout.Milliseconds())+exchange)
-					ds[r].Begin(now, id)
+					wastedRequests += btoi(isFailed && at > failedAt+int(ResponseTimeout.Milliseconds())+reportInterval)
+					detectors[r].Begin(now, id)
 				}
-				if (r+e+at/step)%30 == 15 && !isDark {
-					ds[r].ResponseReceived(now, id)
-					ds[r].End(id)
+				if (r+e+at/step)%30 == 15 && !isFailed {
+					detectors[r].ResponseReceived(now, id)
+					detectors[r].End(id)
 				}
-				if (r+e+at/step)%3 == 0 && !isDark && ds[r].upstreams[id] != nil && ds[r].upstreams[id].open > 0 {
-					ds[r].ResponseReceived(now, id)
+				if (r+e+at/step)%3 == 0 && !isFailed && detectors[r].upstreams[id] != nil && detectors[r].upstreams[id].open > 0 {
+					detectors[r].ResponseReceived(now, id)
 				}
 			}
 		}
-		if at%exchange < step {
-			for r := range ds {
+		if at%reportInterval < step {
+			for r := range detectors {
 				open := make(inflight.Counts)
-				for id, u := range ds[r].upstreams {
+				for id, u := range detectors[r].upstreams {
 					if u.open > 0 {
 						open[id] = u.open
 					}
 				}
-				for other := range ds {
+				for other := range detectors {
 					if other != r {
-						ds[other].Report(now, inflight.RouterID(fmt.Sprint(r)), open, ds[r].Local(now))
+						detectors[other].Report(now, inflight.RouterID(fmt.Sprint(r)), open, detectors[r].Local(now))
 					}
 				}
 			}
 		}
 	}
-	c.Assert(wrong, qt.Equals, 0)
-	c.Assert(wasted, qt.Equals, 0)
+	c.Assert(wronglyExcluded, qt.Equals, 0)
+	c.Assert(wastedRequests, qt.Equals, 0)
 }
 
 func btoi(b bool) int {
--- a/core/unresponsive/doc.go
+++ b/core/unresponsive/doc.go
@@ -1,2 +1,2 @@
-// Package unresponsive finds upstreams that take requests and answer nothing, by what all routers hear of them.
+// Package unresponsive detects upstreams that accept requests but do not respond, from the observations of all routers.
 package unresponsive
