--- a/core/outlier/detector_test.go
+++ b/core/outlier/detector_test.go
@@ -14,7 +14,7 @@
 
 const start = clock.Instant(time.Minute)
 
-func TestFailingUpstreamIsEjectedForATime(t *testing.T) {
+func TestFailingUpstreamIsEjectedTemporarily(t *testing.T) {
 	c := qt.New(t)
 	var d Detector
 	for i := range 12 {
@@ -25,11 +25,11 @@
 	}
 	now := start.Add(time.Second)
 	c.Assert(d.Ejected(now, ids), qt.DeepEquals, []bool{false, true, false, false})
-	c.Assert(d.Ejected(now.Add(ejectTime), ids), qt.DeepEquals, []bool{false, false, false, false})
+	c.Assert(d.Ejected(now.Add(ejectionTime), ids), qt.DeepEquals, []bool{false, false, false, false})
 }
 
-// TestServiceWhoseRequestsFailEverywhereIsNotEmptied replays a service at which a part of all requests fails.
-func TestServiceWhoseRequestsFailEverywhereIsNotEmptied(t *testing.T) {
+// TestServiceWideFailuresEjectAtMostHalf covers a service at which every second request to each upstream fails.
+func TestServiceWideFailuresEjectAtMostHalf(t *testing.T) {
 	c := qt.New(t)
 	var d Detector
 	for i := range 40 {
@@ -48,7 +48,7 @@
 	c.Assert(n <= len(ids)/2, qt.IsTrue)
 }
 
-func TestMostOfAServiceIsNeverEjected(t *testing.T) {
+func TestNoneIsEjectedAboveMaxShare(t *testing.T) {
 	c := qt.New(t)
 	var d Detector
 	for _, id := range ids[:3] {
@@ -57,7 +57,7 @@
 	c.Assert(d.Ejected(start, ids), qt.DeepEquals, []bool{false, false, false, false})
 }
 
-func TestUnreachableUpstreamIsLeftAloneForLonger(t *testing.T) {
+func TestUnreachableBackoffDoublesUntilSuccess(t *testing.T) {
 	c := qt.New(t)
 	var d Detector
 	first := d.RecordUnreachable(start, "a", "letters")
--- a/core/outlier/doc.go
+++ b/core/outlier/doc.go
@@ -1,2 +1,2 @@
-// Package outlier finds the upstreams that fail more often than their service and keeps requests from them for a time.
+// Package outlier detects upstreams that fail more often than the rest of their service and ejects them for a time.
 package outlier
--- a/core/retry/budget_test.go
+++ b/core/retry/budget_test.go
@@ -6,12 +6,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestTotalFailureAddsLittleLoad(t *testing.T) {
+func TestRetriesAreBoundedWhenAllAttemptsFail(t *testing.T) {
 	c := qt.New(t)
 	var b Budget
-	const first = 10_000
+	const firstAttempts = 10_000
 	attempts := 0
-	for range first {
+	for range firstAttempts {
 		b.RecordFirstAttempt()
 		attempts++
 		for range 3 {
@@ -20,5 +20,5 @@
 			}
 		}
 	}
-	c.Assert(float64(attempts)/first <= 1.2, qt.IsTrue, qt.Commentf("%d attempts", attempts))
+	c.Assert(float64(attempts)/firstAttempts <= 1.2, qt.IsTrue, qt.Commentf("%d attempts", attempts))
 }
--- a/core/retry/doc.go
+++ b/core/retry/doc.go
@@ -1,2 +1,2 @@
-// Package retry limits the repeated attempts of one process to a share of its first attempts.
+// Package retry limits retries to a share of the requests, for one process or for a fleet of routers.
 package retry
