--- a/core/members/doc.go
+++ b/core/members/doc.go
@@ -1,2 +1,3 @@
-// Package members keeps the instances of the upstreams, each identified by its id and the start of its process.
+// Package members keeps the upstream instances that the platform's directory lists, each identified by its id and
+// incarnation.
 package members
