--- a/core/polling/doc.go
+++ b/core/polling/doc.go
@@ -1,2 +1,2 @@
-// Package polling decides which routers read the platform's directory themselves; the others learn of changes from them.
+// Package polling decides which routers poll the platform's directory. The others receive its changes from them.
 package polling
--- a/core/polling/decide_test.go
+++ b/core/polling/select_test.go
@@ -17,8 +17,8 @@
 	return list
 }
 
-// readers returns the routers that read when all see the same fleet.
-func readers(all []Candidate, age time.Duration) []Candidate {
+// pollers returns the routers that poll if all see the same fleet.
+func pollers(all []Candidate, age time.Duration) []Candidate {
 	var list []Candidate
 	for i, self := range all {
 		others := slices.Delete(slices.Clone(all), i, i+1)
@@ -29,30 +29,30 @@
 	return list
 }
 
-// TestCallsDoNotGrowWithTheFleet replays fleets of one to four hundred routers.
-func TestCallsDoNotGrowWithTheFleet(t *testing.T) {
+// TestPollerCountIsIndependentOfFleetSize covers fleets of one to four hundred routers.
+func TestPollerCountIsIndependentOfFleetSize(t *testing.T) {
 	c := qt.New(t)
 	for _, n := range []int{1, 2, 5, 28, 400} {
-		c.Assert(len(readers(fleet(n), time.Second)), qt.Equals, min(n, count))
+		c.Assert(len(pollers(fleet(n), time.Second)), qt.Equals, min(n, pollerCount))
 	}
 }
 
-func TestAnotherRouterTakesTheReadersPlace(t *testing.T) {
+func TestStoppedPollerIsReplaced(t *testing.T) {
 	c := qt.New(t)
 	all := fleet(5)
-	first := readers(all, 0)
+	first := pollers(all, 0)
 	left := slices.DeleteFunc(slices.Clone(all), func(r Candidate) bool { return r == first[0] })
-	second := readers(left, 0)
-	c.Assert(second, qt.HasLen, count)
+	second := pollers(left, 0)
+	c.Assert(second, qt.HasLen, pollerCount)
 	c.Assert(slices.Contains(second, first[1]), qt.IsTrue)
 }
 
-func TestEverybodyReadsWithoutNews(t *testing.T) {
-	qt.New(t).Assert(readers(fleet(5), maxAge+1), qt.HasLen, 5)
+func TestAllRoutersPollWithoutRecentUpdates(t *testing.T) {
+	qt.New(t).Assert(pollers(fleet(5), maxUpdateAge+1), qt.HasLen, 5)
 }
 
-// TestCapableRoutersRead replays a fleet of VMs of two sizes: the small ones read only where no large one can.
-func TestCapableRoutersRead(t *testing.T) {
+// TestCapableRoutersPoll covers a fleet of VMs of two sizes: the small ones poll only if no large one can.
+func TestCapableRoutersPoll(t *testing.T) {
 	c := qt.New(t)
 	all := fleet(28)
 	for i := range all {
@@ -61,12 +61,12 @@
 			all[i].Cores = 0.8
 		}
 	}
-	chosen := readers(all, time.Second)
-	c.Assert(chosen, qt.HasLen, count)
+	chosen := pollers(all, time.Second)
+	c.Assert(chosen, qt.HasLen, pollerCount)
 	for _, r := range chosen {
 		c.Assert(r.Cores, qt.Equals, 0.8)
 	}
 	small := slices.DeleteFunc(slices.Clone(all), func(r Candidate) bool { return r.Cores > 0.5 })
-	c.Assert(readers(small, time.Second), qt.HasLen, count)
-	c.Assert(readers(all, maxAge+1), qt.HasLen, 28)
+	c.Assert(pollers(small, time.Second), qt.HasLen, pollerCount)
+	c.Assert(pollers(all, maxUpdateAge+1), qt.HasLen, 28)
 }
--- a/core/warmup/doc.go
+++ b/core/warmup/doc.go
@@ -1,2 +1,2 @@
-// Package warmup decides which router asks an engine for the prompts that it caches after all routers have restarted.
+// Package warmup decides which router queries an engine for its cached prompts after all routers have restarted.
 package warmup
