--- a/core/revision/doc.go
+++ b/core/revision/doc.go
@@ -1,2 +1,2 @@
-// Package revision decides which version of the declarations a process accepts: only a valid one, and only a newer one.
+// Package revision decides which versions of the declarations a process accepts: only valid ones, and only newer ones.
 package revision
--- a/core/revision/store.go
+++ b/core/revision/store.go
@@ -11,26 +11,26 @@
 	"rattantrack.dev/core/settings"
 )
 
-// Digest identifies the content of a version, whatever order its documents came in.
+// Digest identifies the content of a version, whatever the order of its documents.
 type Digest uint64
 
-// Version names one whole set of declarations.
+// Version identifies one complete set of declarations.
 type Version struct {
 	Revision settings.Revision `json:"revision"`
 	Digest   Digest            `json:"digest"`
 }
 
-// Delta carries the documents that changed after From, or every document when From is zero.
+// Delta contains the documents that changed after From, or all documents if From is zero.
 type Delta struct {
 	From      settings.Revision   `json:"from"`
 	To        Version             `json:"to"`
 	Documents []settings.Document `json:"documents"`
 }
 
-// Result says what became of an offered delta.
+// Result is the outcome of an offered delta.
 type Result int
 
-// The results of an offer.
+// The outcomes of an offer.
 const (
 	Accepted Result = iota
 	Stale
@@ -43,7 +43,7 @@
 	return [...]string{"accepted", "stale", "gap", "invalid", "diverged"}[r]
 }
 
-// InvalidError reports a version that was refused whole.
+// InvalidError reports a version that was refused as a whole because a declaration in it is invalid.
 type InvalidError struct {
 	Version  Version
 	Problems error
@@ -53,7 +53,7 @@
 	return fmt.Sprintf("revision %d refused: %v", e.Version.Revision, e.Problems)
 }
 
-// Status is what a process says of its declarations in its state dump.
+// Status is the state of a store in a dump.
 type Status struct {
 	Version  Version `json:"version"`
 	Refused  Version `json:"refused"`
@@ -61,7 +61,7 @@
 	Diverged bool    `json:"diverged"`
 }
 
-// maxTombstones bounds the deleted documents remembered for deltas.
+// maxTombstones bounds the deleted documents that are kept for deltas.
 const maxTombstones = 4096
 
 // Store holds the accepted version; its zero value holds none.
@@ -70,30 +70,31 @@
 	version    Version
 	documents  map[settings.DocumentKey]settings.Document
 	tombstones map[settings.DocumentKey]settings.Document
-	// compacted is the newest revision whose tombstone was forgotten.
+	// compacted is the newest revision whose tombstones were dropped. No delta may start before it.
 	compacted settings.Revision
-	// sum is the exclusive or of the documents' hashes.
-	sum      uint64
-	fleet    *settings.Declarations
-	refused  Version
-	reason   string
-	diverged bool
-	watchers []func(Change)
+	// hashSum is the exclusive or of the documents' hashes.
+	hashSum      uint64
+	declarations *settings.Declarations
+	refused      Version
+	reason       string
+	diverged     bool
+	watchers     []func(Change)
 }
 
-// Change is an accepted version and the way to it from the one before.
+// Change is an accepted version with the way to it from the previous one.
 type Change struct {
 	Version Version
 	Fleet   *settings.Declarations
-	// Consecutive says that no version lies between this one and the one before it here.
+	// Consecutive is set if the version came as a delta and directly follows the previous one.
 	Consecutive bool
-	// Complete says that Documents are all there are and not only those that changed.
+	// Complete is set if Documents does not limit the change: any declaration may differ from the previous version.
 	Complete bool
-	// Documents are those that changed on the way.
+	// Documents are the changed documents, or all documents of a complete delta. It is empty if a watcher is called
+	// with the version that was in force before it was added.
 	Documents []settings.Document
 }
 
-// UpstreamsChanged reports whether the set of upstreams of any service can have changed.
+// UpstreamsChanged reports whether the set of upstreams of any service may have changed.
 func (c Change) UpstreamsChanged() bool {
 	if c.Complete {
 		return true
@@ -103,108 +104,113 @@
 	})
 }
 
-// Watch calls f for the version in force, if any, and for each one accepted later, in order; f must not call the store.
+// Watch calls f with the version in force, if any, and with each version accepted later, in order; f must not call the
+// store.
 func (s *Store) Watch(f func(Change)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.watchers = append(s.watchers, f)
-	if s.fleet != nil {
-		f(Change{Version: s.version, Fleet: s.fleet, Complete: true})
+	if s.declarations != nil {
+		f(Change{Version: s.version, Fleet: s.declarations, Complete: true})
 	}
 }
 
-// Current returns the version in force; the declarations are nil while there is none.
+// Current returns the version in force and its declarations, which are nil if there is none.
 func (s *Store) Current() (Version, *settings.Declarations) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.version, s.fleet
+	return s.version, s.declarations
 }
 
-// Status describes the store for operators.
+// Status returns the state of the store for a dump.
 func (s *Store) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Status{Version: s.version, Refused: s.refused, Reason: s.reason, Diverged: s.diverged}
 }
 
-// Since returns what changed after a revision, or everything when the changes are no longer known.
+// Since returns the changes after a revision, or all documents if those changes are no longer known.
 func (s *Store) Since(from settings.Revision) Delta {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d := Delta{From: from, To: s.version}
+	delta := Delta{From: from, To: s.version}
 	if from < s.compacted || from > s.version.Revision {
-		d.From = 0
+		delta.From = 0
 	}
-	d.Documents = appendNewer(d.Documents, s.documents, d.From)
-	if d.From > 0 {
-		d.Documents = appendNewer(d.Documents, s.tombstones, d.From)
+	delta.Documents = appendNewer(delta.Documents, s.documents, delta.From)
+	if delta.From > 0 {
+		delta.Documents = appendNewer(delta.Documents, s.tombstones, delta.From)
 	}
-	sort.Slice(d.Documents, func(i, j int) bool { return d.Documents[i].Key < d.Documents[j].Key })
-	return d
+	sort.Slice(delta.Documents, func(i, j int) bool { return delta.Documents[i].Key < delta.Documents[j].Key })
+	return delta
 }
 
-func appendNewer(to []settings.Document, from map[settings.DocumentKey]settings.Document, after settings.Revision) []settings.Document {
+// appendNewer appends the documents that changed after a revision.
+func appendNewer(
+	list []settings.Document, from map[settings.DocumentKey]settings.Document, after settings.Revision,
+) []settings.Document {
 	for _, doc := range from {
 		if doc.Revision > after {
-			to = append(to, doc)
+			list = append(list, doc)
 		}
 	}
-	return to
+	return list
 }
 
-// Offer applies a delta if it leads to a valid newer version; the error explains Invalid.
-func (s *Store) Offer(d Delta) (Result, error) {
+// Offer applies a delta if it leads to a valid, newer version. The error is set for Invalid only.
+func (s *Store) Offer(delta Delta) (Result, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if result, done := s.compare(d); done {
+	if result, done := s.precheck(delta); done {
 		return result, nil
 	}
-	changed := s.changed(d)
-	sum := s.digestAfter(d, changed)
-	if d.To.Digest != 0 && sum != d.To.Digest {
+	changed := s.newDocuments(delta)
+	sum := s.digestAfter(delta, changed)
+	if delta.To.Digest != 0 && sum != delta.To.Digest {
 		return Gap, nil
 	}
-	d.To.Digest = sum
-	base := s.fleet
-	if d.From == 0 || base == nil {
+	delta.To.Digest = sum
+	base := s.declarations
+	if delta.From == 0 || base == nil {
 		base = &settings.Declarations{}
 	}
-	fleet, err := base.With(changed)
+	declarations, err := base.With(changed)
 	if err != nil {
-		s.refused = d.To
+		s.refused = delta.To
 		s.reason = err.Error()
-		return Invalid, &InvalidError{Version: d.To, Problems: err}
+		return Invalid, &InvalidError{Version: delta.To, Problems: err}
 	}
-	s.accept(d, changed, fleet)
+	s.accept(delta, changed, declarations)
 	return Accepted, nil
 }
 
-// compare settles the offers that need no look at the documents.
-func (s *Store) compare(d Delta) (Result, bool) {
-	if d.To.Revision < s.version.Revision {
+// precheck decides on the offers whose result follows from the revisions and the digest alone. For all others it
+// returns false.
+func (s *Store) precheck(delta Delta) (Result, bool) {
+	if delta.To.Revision < s.version.Revision {
 		return Stale, true
 	}
-	if d.To.Revision == s.version.Revision && s.fleet != nil {
-		s.diverged = d.To.Digest != 0 && d.To.Digest != s.version.Digest
+	if delta.To.Revision == s.version.Revision && s.declarations != nil {
+		s.diverged = delta.To.Digest != 0 && delta.To.Digest != s.version.Digest
 		if s.diverged {
 			return Diverged, true
 		}
 		return Stale, true
 	}
-	if d.From > s.version.Revision {
+	if delta.From > s.version.Revision {
 		return Gap, true
 	}
 	return Accepted, false
 }
 
-// changed returns the documents of a delta that are newer than what is here; an older change of a document may come
-// again in a delta that reaches further back.
-func (s *Store) changed(d Delta) []settings.Document {
-	if d.From == 0 {
-		return d.Documents
+// newDocuments returns the documents of a delta that are not older than the stored ones. A delta that starts at an
+// earlier revision may repeat older changes.
+func (s *Store) newDocuments(delta Delta) []settings.Document {
+	if delta.From == 0 {
+		return delta.Documents
 	}
 	var list []settings.Document
-	for _, doc := range d.Documents {
+	for _, doc := range delta.Documents {
 		if s.documents[doc.Key].Revision <= doc.Revision {
 			list = append(list, doc)
 		}
@@ -213,13 +219,13 @@
 }
 
 // digestAfter returns the digest of the content that the change leads to.
-func (s *Store) digestAfter(d Delta, changed []settings.Document) Digest {
+func (s *Store) digestAfter(delta Delta, changed []settings.Document) Digest {
 	var sum uint64
-	if d.From > 0 {
-		sum = s.sum
+	if delta.From > 0 {
+		sum = s.hashSum
 	}
 	for _, doc := range changed {
-		if have, ok := s.documents[doc.Key]; ok && d.From > 0 {
+		if have, ok := s.documents[doc.Key]; ok && delta.From > 0 {
 			sum ^= hash(have)
 		}
 		if !doc.Deleted {
@@ -229,13 +235,13 @@
 	return digestOf(sum)
 }
 
-func (s *Store) accept(d Delta, changed []settings.Document, fleet *settings.Declarations) {
-	if d.From == 0 {
-		// A whole version names no deletions, so no delta may start before it.
-		s.compacted = d.To.Revision
+func (s *Store) accept(delta Delta, changed []settings.Document, declarations *settings.Declarations) {
+	if delta.From == 0 {
+		// A complete version contains no deletions, so no delta may start before it.
+		s.compacted = delta.To.Revision
 		s.tombstones = nil
 		s.documents = nil
-		s.sum = 0
+		s.hashSum = 0
 	}
 	if s.documents == nil {
 		s.documents = make(map[settings.DocumentKey]settings.Document)
@@ -248,19 +254,19 @@
 	}
 	if len(s.tombstones) > maxTombstones {
 		s.tombstones = nil
-		s.compacted = d.To.Revision
+		s.compacted = delta.To.Revision
 	}
 	change := Change{
-		Version:     d.To,
-		Fleet:       fleet,
-		Consecutive: d.From > 0 && d.To.Revision == s.version.Revision+1,
-		Complete:    d.From == 0,
+		Version:     delta.To,
+		Fleet:       declarations,
+		Consecutive: delta.From > 0 && delta.To.Revision == s.version.Revision+1,
+		Complete:    delta.From == 0,
 		Documents:   changed,
 	}
-	s.fleet = fleet
-	s.version = d.To
+	s.declarations = declarations
+	s.version = delta.To
 	s.diverged = false
-	if s.refused.Revision <= d.To.Revision {
+	if s.refused.Revision <= delta.To.Revision {
 		s.refused = Version{}
 		s.reason = ""
 	}
@@ -269,10 +275,10 @@
 	}
 }
 
-// put takes one document in and keeps the digest in step.
+// put stores or deletes one document and updates the sum.
 func (s *Store) put(doc settings.Document) {
 	if have, ok := s.documents[doc.Key]; ok {
-		s.sum ^= hash(have)
+		s.hashSum ^= hash(have)
 	}
 	if doc.Deleted {
 		delete(s.documents, doc.Key)
@@ -281,17 +287,17 @@
 	}
 	delete(s.tombstones, doc.Key)
 	s.documents[doc.Key] = doc
-	s.sum ^= hash(doc)
+	s.hashSum ^= hash(doc)
 }
 
-// Refused reports whether exactly this version was already refused.
-func (s *Store) Refused(r settings.Revision) bool {
+// Refused reports whether this revision was the last one refused and no newer one has been accepted.
+func (s *Store) Refused(revision settings.Revision) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.refused.Revision == r && r > s.version.Revision
+	return s.refused.Revision == revision && revision > s.version.Revision
 }
 
-// hash is one document's part of the digest.
+// hash returns the contribution of one document to the digest.
 func hash(doc settings.Document) uint64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(string(doc.Key))
@@ -300,5 +306,5 @@
 	return h.Sum64()
 }
 
-// digestOf keeps zero free, which stands for an unknown digest.
+// digestOf returns the digest for a sum. Zero is not used because it stands for an unknown digest.
 func digestOf(sum uint64) Digest { return Digest(max(sum, 1)) }
--- a/core/revision/store_test.go
+++ b/core/revision/store_test.go
@@ -20,18 +20,18 @@
 	return Delta{To: Version{Revision: r}, Documents: docs}
 }
 
-func TestOfferTakesOnlyNewerVersions(t *testing.T) {
+func TestOfferAcceptsOnlyNewerVersions(t *testing.T) {
 	tests := map[string]struct {
 		offer Delta
 		want  Result
 		share int
 	}{
-		"newer whole version":          {full(6, team("a", 9, 6)), Accepted, 9},
+		"newer complete version":       {full(6, team("a", 9, 6)), Accepted, 9},
 		"newer change":                 {Delta{From: 5, To: Version{Revision: 6}, Documents: []settings.Document{team("a", 9, 6)}}, Accepted, 9},
 		"older version":                {full(4, team("a", 9, 4)), Stale, 1},
 		"same version again":           {full(5, team("a", 1, 5)), Stale, 1},
 		"same revision, other content": {Delta{To: Version{Revision: 5, Digest: 77}, Documents: []settings.Document{team("a", 9, 5)}}, Diverged, 1},
-		"change past a gap":            {Delta{From: 7, To: Version{Revision: 8}, Documents: []settings.Document{team("a", 9, 8)}}, Gap, 1},
+		"change after a gap":           {Delta{From: 7, To: Version{Revision: 8}, Documents: []settings.Document{team("a", 9, 8)}}, Gap, 1},
 		"invalid version":              {full(6, team("a", -1, 6)), Invalid, 1},
 		"digest that does not match":   {Delta{From: 5, To: Version{Revision: 6, Digest: 3}}, Gap, 1},
 	}
@@ -45,8 +45,8 @@
 			c.Assert(got, qt.Equals, test.want)
 			var invalid *InvalidError
 			c.Assert(errors.As(err, &invalid), qt.Equals, test.want == Invalid)
-			_, fleet := s.Current()
-			c.Assert(fleet.Teams["a"].Share, qt.Equals, test.share)
+			_, declarations := s.Current()
+			c.Assert(declarations.Teams["a"].Share, qt.Equals, test.share)
 		})
 	}
 }
@@ -64,23 +64,23 @@
 	c.Assert(s.Status().Refused.Revision, qt.Equals, settings.Revision(0))
 }
 
-// TestStoresAgreeWithASingleCopy exchanges deltas between stores in any order, with restarts and stale
-// answers, and compares each store with the one true history.
-func TestStoresAgreeWithASingleCopy(t *testing.T) {
+// TestStoresConvergeToReferenceHistory exchanges deltas between stores in random order, with restarts and stale
+// responses, and compares each store with the reference history.
+func TestStoresConvergeToReferenceHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := []map[string]int{{}}
-		truth := &Store{}
-		_, _ = truth.Offer(full(0))
+		reference := &Store{}
+		_, _ = reference.Offer(full(0))
 		stores := []*Store{{}, {}, {}}
 		steps := rapid.IntRange(1, 40).Draw(t, "steps")
 		for range steps {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				change(t, truth, &history)
+				change(t, reference, &history)
 			case 1:
-				i := rapid.IntRange(0, 2).Draw(t, "reader")
-				at := settings.Revision(rapid.IntRange(0, len(history)-1).Draw(t, "answer"))
-				_, _ = stores[i].Offer(wholeAt(history, at))
+				i := rapid.IntRange(0, 2).Draw(t, "store")
+				at := settings.Revision(rapid.IntRange(0, len(history)-1).Draw(t, "revision"))
+				_, _ = stores[i].Offer(completeAt(history, at))
 			case 2:
 				from := rapid.IntRange(0, 2).Draw(t, "from")
 				to := rapid.IntRange(0, 2).Draw(t, "to")
@@ -93,19 +93,19 @@
 				compareWith(t, history, s)
 			}
 		}
-		v, _ := truth.Current()
+		v, _ := reference.Current()
 		for _, s := range stores {
 			have, _ := s.Current()
-			_, _ = s.Offer(truth.Since(have.Revision))
+			_, _ = s.Offer(reference.Since(have.Revision))
 			now, _ := s.Current()
 			if now != v {
-				t.Fatalf("store at %v, truth at %v", now, v)
+				t.Fatalf("store at %v, reference at %v", now, v)
 			}
 		}
 	})
 }
 
-func change(t *rapid.T, truth *Store, history *[]map[string]int) {
+func change(t *rapid.T, reference *Store, history *[]map[string]int) {
 	r := settings.Revision(len(*history))
 	name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "team")
 	share := rapid.IntRange(1, 9).Draw(t, "share")
@@ -117,10 +117,10 @@
 		next[name] = share
 	}
 	*history = append(*history, next)
-	_, _ = truth.Offer(Delta{From: r - 1, To: Version{Revision: r}, Documents: []settings.Document{doc}})
+	_, _ = reference.Offer(Delta{From: r - 1, To: Version{Revision: r}, Documents: []settings.Document{doc}})
 }
 
-func wholeAt(history []map[string]int, r settings.Revision) Delta {
+func completeAt(history []map[string]int, r settings.Revision) Delta {
 	d := full(r)
 	for name, share := range history[r] {
 		d.Documents = append(d.Documents, team(name, share, r))
@@ -129,17 +129,17 @@
 }
 
 func compareWith(t *rapid.T, history []map[string]int, s *Store) {
-	v, fleet := s.Current()
-	if fleet == nil {
+	v, declarations := s.Current()
+	if declarations == nil {
 		return
 	}
 	want := history[v.Revision]
-	if len(want) != len(fleet.Teams) {
-		t.Fatalf("revision %d has %v, store has %v", v.Revision, want, fleet.Teams)
+	if len(want) != len(declarations.Teams) {
+		t.Fatalf("revision %d has %v, store has %v", v.Revision, want, declarations.Teams)
 	}
 	for name, share := range want {
-		if fleet.Teams[settings.TeamID(name)].Share != share {
-			t.Fatalf("revision %d has %v, store has %v", v.Revision, want, fleet.Teams)
+		if declarations.Teams[settings.TeamID(name)].Share != share {
+			t.Fatalf("revision %d has %v, store has %v", v.Revision, want, declarations.Teams)
 		}
 	}
 }
