--- a/core/gossip/doc.go
+++ b/core/gossip/doc.go
@@ -1,2 +1,2 @@
-// Package gossip brings accepted versions of the declarations to every process over links between neighbours.
+// Package gossip distributes accepted versions of the declarations to all processes over links between peers.
 package gossip
--- a/core/gossip/spread_test.go
+++ b/core/gossip/service_test.go
@@ -17,7 +17,7 @@
 	"rattantrack.dev/core/settings"
 )
 
-// node is one process's part in spreading, with a switch that cuts it off.
+// node is one process in the gossip, which can be cut off from others.
 type node struct {
 	store    *revision.Store
 	endpoint *peer.Endpoint
@@ -28,23 +28,23 @@
 	cut map[string]bool
 }
 
-// Serve gives messages to the spread service.
+// Serve passes messages to the gossip service.
 func (n *node) Serve(ctx context.Context, st *peer.Stream, m peer.Message) {
 	n.service.Serve(ctx, st, m)
 }
 
-// Dial fails towards addresses that are cut off.
+// Dial fails for addresses that are cut off.
 func (n *node) Dial(ctx context.Context, address string) (*peer.Link, error) {
 	if n.isCut(address) {
 		return nil, &net.AddrError{Err: "cut off", Addr: address}
 	}
-	l, err := n.endpoint.Dial(ctx, address)
+	link, err := n.endpoint.Dial(ctx, address)
 	if err == nil && n.isCut(address) {
-		// The cut came while the link was being made.
+		// The address was cut off while the link was being made.
 		err = &net.AddrError{Err: "cut off", Addr: address}
-		l.Close(err)
+		link.Close(err)
 	}
-	return l, err
+	return link, err
 }
 
 func (n *node) isCut(address string) bool {
@@ -53,7 +53,7 @@
 	return n.cut[address]
 }
 
-// startNodes starts n nodes that know each other; only the first has a version.
+// startNodes starts n nodes that are candidates for each other; only the first has a version.
 func startNodes(t *testing.T, n int) []*node {
 	t.Helper()
 	c := qt.New(t)
@@ -62,8 +62,8 @@
 	var nodes []*node
 	t.Cleanup(func() {
 		cancel()
-		for _, one := range nodes {
-			one.endpoint.Close()
+		for _, n := range nodes {
+			n.endpoint.Close()
 		}
 		wg.Wait()
 	})
@@ -72,33 +72,33 @@
 	for i := range n {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		c.Assert(err, qt.IsNil)
-		one := &node{store: &revision.Store{}, address: ln.Addr().String(), cut: make(map[string]bool)}
-		one.endpoint = &peer.Endpoint{Handler: one, Allow: allow, Local: func() peer.Hello {
+		self := &node{store: &revision.Store{}, address: ln.Addr().String(), cut: make(map[string]bool)}
+		self.endpoint = &peer.Endpoint{Handler: self, Allow: allow, Local: func() peer.Hello {
 			return peer.Hello{Protocol: peer.ProtocolVersion, ID: fmt.Sprint(i)}
 		}}
-		one.service = &Service{Store: one.store, Dialer: one, Log: log.New(io.Discard), Candidates: func() []string {
+		self.service = &Service{Store: self.store, Dialer: self, Log: log.New(io.Discard), Candidates: func() []string {
 			var list []string
 			for _, other := range nodes {
-				if other != one {
+				if other != self {
 					list = append(list, other.address)
 				}
 			}
 			return list
 		}}
-		nodes = append(nodes, one)
+		nodes = append(nodes, self)
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			_ = one.endpoint.Listen(ctx, ln)
+			_ = self.endpoint.Listen(ctx, ln)
 		}()
 	}
 	_, err = nodes[0].store.Offer(revision.Delta{To: revision.Version{Revision: 1}})
 	c.Assert(err, qt.IsNil)
-	for _, one := range nodes {
+	for _, n := range nodes {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			_ = one.service.Run(ctx, func() {})
+			_ = n.service.Run(ctx, func() {})
 		}()
 	}
 	return nodes
@@ -113,18 +113,18 @@
 	qt.Assert(t, got, qt.Equals, revision.Accepted)
 }
 
-// inForce waits until a revision is in force at the nodes.
-func inForce(t *testing.T, r settings.Revision, nodes ...*node) {
+// waitInForce waits until a revision is in force at the nodes.
+func waitInForce(t *testing.T, r settings.Revision, nodes ...*node) {
 	t.Helper()
-	begun := time.Now()
-	for _, one := range nodes {
+	start := time.Now()
+	for _, n := range nodes {
 		for {
-			v, _ := one.store.Current()
+			v, _ := n.store.Current()
 			if v.Revision >= r {
 				break
 			}
-			if time.Since(begun) > 10*time.Second {
-				t.Fatalf("%s has revision %d, want %d", one.address, v.Revision, r)
+			if time.Since(start) > 10*time.Second {
+				t.Fatalf("%s has revision %d, want %d", n.address, v.Revision, r)
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -133,36 +133,36 @@
 
 func TestVersionReachesEveryNode(t *testing.T) {
 	nodes := startNodes(t, 40)
-	inForce(t, 1, nodes...)
+	waitInForce(t, 1, nodes...)
 	for r := settings.Revision(2); r < 8; r++ {
 		offer(t, nodes[int(r)], r)
-		inForce(t, r, nodes...)
+		waitInForce(t, r, nodes...)
 	}
 }
 
-func TestNodesCutOffKeepTheirVersionAndCatchUpWhenThePartitionHeals(t *testing.T) {
+func TestPartitionedNodesCatchUpAfterHealing(t *testing.T) {
 	c := qt.New(t)
 	nodes := startNodes(t, 12)
-	inForce(t, 1, nodes...)
+	waitInForce(t, 1, nodes...)
 	left, right := nodes[:6], nodes[6:]
 	setCut(left, right, true)
 	offer(t, left[0], 2)
-	inForce(t, 2, left...)
+	waitInForce(t, 2, left...)
 	offer(t, left[1], 3)
-	inForce(t, 3, left...)
-	for _, one := range right {
-		v, _ := one.store.Current()
+	waitInForce(t, 3, left...)
+	for _, n := range right {
+		v, _ := n.store.Current()
 		c.Assert(v.Revision, qt.Equals, settings.Revision(1))
 	}
 	setCut(left, right, false)
-	inForce(t, 3, nodes...)
-	for _, one := range nodes {
-		_, fleet := one.store.Current()
-		c.Assert(fleet.Teams["a"].Share, qt.Equals, 3)
+	waitInForce(t, 3, nodes...)
+	for _, n := range nodes {
+		_, declarations := n.store.Current()
+		c.Assert(declarations.Teams["a"].Share, qt.Equals, 3)
 	}
 }
 
-// setCut cuts or mends every way between two groups, ending the links between them.
+// setCut cuts or restores all links between two groups and, for a cut, closes the links of all their nodes.
 func setCut(a, b []*node, cut bool) {
 	for _, x := range a {
 		for _, y := range b {
--- a/core/overlay/doc.go
+++ b/core/overlay/doc.go
@@ -1,2 +1,2 @@
-// Package overlay keeps a small changing set of neighbours out of many candidates.
+// Package overlay keeps a small, slowly changing set of peers chosen from many candidates.
 package overlay
--- a/core/overlay/neighbours_test.go
+++ b/core/overlay/peerset_test.go
@@ -15,24 +15,24 @@
 	return list
 }
 
-func TestNeighboursAreFewAndChangeWithTheCandidates(t *testing.T) {
+func TestPeerSetIsSmallAndFollowsCandidates(t *testing.T) {
 	c := qt.New(t)
-	n := &PeerSet{Size: 5}
+	s := &PeerSet{Size: 5}
 	all := candidates(100)
-	c.Assert(len(n.Choose(all)) <= 5, qt.IsTrue)
+	c.Assert(len(s.Choose(all)) <= 5, qt.IsTrue)
 	for range 200 {
-		address, ok := n.Pick(all)
+		address, ok := s.Pick(all)
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(all, qt.Contains, address)
-		n.Rotate()
+		s.Rotate()
 	}
 	few := all[:2]
 	for range 20 {
-		address, ok := n.Pick(few)
+		address, ok := s.Pick(few)
 		if ok {
 			c.Assert(few, qt.Contains, address)
 		}
 	}
-	_, ok := n.Pick(nil)
+	_, ok := s.Pick(nil)
 	c.Assert(ok, qt.IsFalse)
 }
