--- a/core/configuration/client.go
+++ b/core/configuration/client.go
@@ -14,26 +14,26 @@
 	"rattantrack.dev/core/settings"
 )
 
-// maxAnswerBytes bounds what is read of one answer.
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes bounds the size of a response body.
+const maxResponseBytes = 64 << 20
 
-// StatusError reports an answer other than 200.
+// StatusError reports a response with a status other than 200.
 type StatusError struct {
 	URL    string
 	Status int
 }
 
-func (e *StatusError) Error() string { return fmt.Sprintf("%s answered %d", e.URL, e.Status) }
+func (e *StatusError) Error() string { return fmt.Sprintf("%s returned status %d", e.URL, e.Status) }
 
-// Changes is the configuration service's answer to a read or watch.
+// Changes is the configuration service's response to a read or watch.
 type Changes struct {
 	Revision settings.Revision `json:"revision"`
-	// Complete says that Documents holds every document and not only the changed ones.
+	// Complete is set if Documents holds all documents and not only the changed ones.
 	Complete  bool                `json:"whole"`
 	Documents []settings.Document `json:"documents"`
 }
 
-// VMState is what the platform says of a VM.
+// VMState is the state of a VM as the platform reports it.
 type VMState string
 
 // The states of a VM.
@@ -53,39 +53,39 @@
 	State   VMState `json:"state"`
 }
 
-// VMs is the VM list's answer.
+// VMs is the response of the VM list.
 type VMs struct {
 	VMs []VM `json:"vms"`
 }
 
-// Client reads the platform; its zero value needs the base URLs.
+// Client reads the platform's services. The base URLs must be set.
 type Client struct {
 	ConfigurationURL string
 	VMListURL        string
 	HTTP             *http.Client
 }
 
-// Changes returns what changed after a revision, waiting up to wait for a change.
+// Changes returns the changes after a revision and waits up to wait for one.
 func (c *Client) Changes(ctx context.Context, since settings.Revision, wait time.Duration) (revision.Delta, error) {
 	url := fmt.Sprintf("%s/v1/changes?since=%d&wait_ms=%d", c.ConfigurationURL, since, wait.Milliseconds())
-	var answer Changes
-	if err := c.get(ctx, url, &answer); err != nil {
+	var response Changes
+	if err := c.get(ctx, url, &response); err != nil {
 		return revision.Delta{}, err
 	}
-	d := revision.Delta{From: since, To: revision.Version{Revision: answer.Revision}, Documents: answer.Documents}
-	if answer.Complete {
-		d.From = 0
+	delta := revision.Delta{From: since, To: revision.Version{Revision: response.Revision}, Documents: response.Documents}
+	if response.Complete {
+		delta.From = 0
 	}
-	return d, nil
+	return delta, nil
 }
 
 // VMs returns the VM list.
 func (c *Client) VMs(ctx context.Context) ([]VM, error) {
-	var answer VMs
-	if err := c.get(ctx, c.VMListURL+"/v1/vms", &answer); err != nil {
+	var response VMs
+	if err := c.get(ctx, c.VMListURL+"/v1/vms", &response); err != nil {
 		return nil, err
 	}
-	return answer.VMs, nil
+	return response.VMs, nil
 }
 
 func (c *Client) get(ctx context.Context, url string, into any) error {
@@ -99,12 +99,12 @@
 	}
 	res, err := client.Do(req)
 	if err != nil {
-		return errors.Wrap(err, "asking the platform")
+		return errors.Wrap(err, "sending a platform request")
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
 		return &StatusError{URL: url, Status: res.StatusCode}
 	}
-	body := io.LimitReader(res.Body, maxAnswerBytes)
-	return errors.Wrap(json.NewDecoder(body).Decode(into), "decoding a platform answer")
+	body := io.LimitReader(res.Body, maxResponseBytes)
+	return errors.Wrap(json.NewDecoder(body).Decode(into), "decoding a platform response")
 }
--- a/core/directory/doc.go
+++ b/core/directory/doc.go
@@ -1,2 +1,3 @@
-// Package directory holds what a router reads of the platform: the declarations and the instances of the upstreams.
+// Package directory defines what a router reads from the platform's directory: the declarations and the upstream
+// instances.
 package directory
--- a/core/directory/update.go
+++ b/core/directory/update.go
@@ -11,21 +11,21 @@
 // Position is a point in the history of the platform's directory.
 type Position uint64
 
-// Update is what a read or a watch of the directory returned.
+// Update is the result of a read or a watch of the directory.
 type Update struct {
-	// Position is the position up to which the update is complete.
+	// Position is the point up to which the update is complete.
 	Position Position
-	// Declarations is the newest version, nil where it did not change.
+	// Declarations is the newest version, nil if it has not changed. Revision is its revision.
 	Declarations *settings.Declarations
 	Revision     settings.Revision
-	// Complete says that Instances are all there are and not only those that changed.
+	// Complete is set if Instances holds all instances and not only the changed ones.
 	Complete  bool
 	Instances []members.Change
-	// Invalid are the entries that could not be read.
+	// Invalid holds the entries that could not be decoded.
 	Invalid []InvalidEntryError
 }
 
-// InvalidEntryError reports an entry of the directory that could not be read.
+// InvalidEntryError reports an entry of the directory that could not be decoded.
 type InvalidEntryError struct {
 	Key    string
 	Reason string
@@ -33,21 +33,23 @@
 
 func (e *InvalidEntryError) Error() string { return fmt.Sprintf("entry %q: %s", e.Key, e.Reason) }
 
-// HistoryLostError reports a watch whose position is older than the history that is kept.
+// HistoryLostError reports a watch from a position that is older than the history that the directory keeps.
 type HistoryLostError struct {
 	After Position
 }
 
 func (e *HistoryLostError) Error() string {
-	return fmt.Sprintf("the history after %d is no longer kept", e.After)
+	return fmt.Sprintf("the history after position %d is no longer available", e.After)
 }
 
-// UnavailableError reports a directory that did not answer a call.
+// UnavailableError reports a response of the directory with a status other than 200.
 type UnavailableError struct {
 	Call   string
 	Status int
-	// RetryAfter is the pause that the directory asked for, 0 for none.
+	// RetryAfter is the pause that the directory requested, 0 if none.
 	RetryAfter time.Duration
 }
 
-func (e *UnavailableError) Error() string { return fmt.Sprintf("%s answered %d", e.Call, e.Status) }
+func (e *UnavailableError) Error() string {
+	return fmt.Sprintf("%s returned status %d", e.Call, e.Status)
+}
