--- a/core/candidates/doc.go
+++ b/core/candidates/doc.go
@@ -1,2 +1,2 @@
-// Package candidates decides in which order a router asks sides to take a chat.
+// Package candidates determines the order in which a router tries the sides for a request.
 package candidates
--- a/core/candidates/walk_test.go
+++ b/core/candidates/order_test.go
@@ -9,51 +9,51 @@
 	"rattantrack.dev/core/settings"
 )
 
-func TestLightestIsAskedLastWhenAllHaveRefused(t *testing.T) {
+func TestLeastLoadedSideIsTriedLastWhenAllRefuse(t *testing.T) {
 	c := qt.New(t)
-	w := New(rendezvous.New([]settings.UpstreamID{"a", "b", "c"}), 7, "")
+	o := New(rendezvous.New([]settings.UpstreamID{"a", "b", "c"}), 7, "")
 	loads := map[settings.UpstreamID]settings.Tokens{"a": 30, "b": 10, "c": 20}
 	for range 3 {
-		step, ok := w.Next()
+		step, ok := o.Next()
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(step.LastCandidate, qt.IsFalse)
-		w.RecordOverloaded(step.Side, loads[step.Side])
+		o.RecordOverloaded(step.Side, loads[step.Side])
 	}
-	step, ok := w.Next()
+	step, ok := o.Next()
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(step, qt.Equals, Step{Side: "b", Redirected: true, LastCandidate: true})
-	_, ok = w.Next()
+	_, ok = o.Next()
 	c.Assert(ok, qt.IsFalse)
 }
 
-func TestNamedSidesAreAskedFirstAndNobodyTwice(t *testing.T) {
+func TestNamedSidesAreTriedFirstAndNoneTwice(t *testing.T) {
 	c := qt.New(t)
-	w := New(rendezvous.New([]settings.UpstreamID{"a", "b", "c", "d", "e", "f"}), 7, "e")
-	first, _ := w.Next()
+	o := New(rendezvous.New([]settings.UpstreamID{"a", "b", "c", "d", "e", "f"}), 7, "e")
+	first, _ := o.Next()
 	c.Assert(first.Side, qt.Equals, settings.UpstreamID("e"))
-	w.Prepend([]settings.UpstreamID{"e", "f"})
-	second, _ := w.Next()
+	o.Prepend([]settings.UpstreamID{"e", "f"})
+	second, _ := o.Next()
 	c.Assert(second, qt.Equals, Step{Side: "f", Redirected: true})
 	seen := map[settings.UpstreamID]bool{"e": true, "f": true}
 	for {
-		step, ok := w.Next()
+		step, ok := o.Next()
 		if !ok {
 			break
 		}
 		c.Assert(seen[step.Side], qt.IsFalse)
 		seen[step.Side] = true
 	}
-	c.Assert(w.Requests() <= MaxRequests, qt.IsTrue)
+	c.Assert(o.Requests() <= MaxRequests, qt.IsTrue)
 }
 
-func TestExcludedSideIsNotAskedThoughItIsNamed(t *testing.T) {
+func TestExcludedSideIsNotTriedEvenIfNamed(t *testing.T) {
 	c := qt.New(t)
-	w := New(rendezvous.New([]settings.UpstreamID{"a", "b"}), 7, "")
-	w.Exclude([]settings.UpstreamID{"a"})
-	w.Prepend([]settings.UpstreamID{"a"})
-	step, ok := w.Next()
+	o := New(rendezvous.New([]settings.UpstreamID{"a", "b"}), 7, "")
+	o.Exclude([]settings.UpstreamID{"a"})
+	o.Prepend([]settings.UpstreamID{"a"})
+	step, ok := o.Next()
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(step.Side, qt.Equals, settings.UpstreamID("b"))
-	_, ok = w.Next()
+	_, ok = o.Next()
 	c.Assert(ok, qt.IsFalse)
 }
