--- a/core/routing/table_test.go
+++ b/core/routing/table_test.go
@@ -13,8 +13,8 @@
 	desk := []settings.Backend{{Service: "desk", Weight: 1}}
 	return New(&settings.Declarations{
 		Routes: map[settings.RouteName]settings.Route{
-			"whole": {Host: "a.example", PathPrefix: "/x/", Backends: desk, Rank: 2},
-			"part":  {Host: "a.example", PathPrefix: "/x/y/", Backends: desk},
+			"outer": {Host: "a.example", PathPrefix: "/x/", Backends: desk, Rank: 2},
+			"inner": {Host: "a.example", PathPrefix: "/x/y/", Backends: desk},
 			"other": {Host: "b.example", PathPrefix: "/x/", Backends: desk},
 		},
 		Teams: map[settings.TeamID]settings.Team{
@@ -29,12 +29,12 @@
 		name, host, path string
 		want             settings.RouteName
 	}{
-		{"the longest prefix wins", "a.example", "/x/y/z", "part"},
-		{"a shorter one otherwise", "a.example", "/x/z", "whole"},
-		{"a prefix ends with its slash", "a.example", "/x", ""},
-		{"no part of a segment", "a.example", "/xy/", ""},
-		{"by host", "b.example:8080", "/x/y/", "other"},
-		{"whatever its case", "B.Example", "/x/", "other"},
+		{"longest prefix wins", "a.example", "/x/y/z", "inner"},
+		{"shorter prefix if the longer one does not match", "a.example", "/x/z", "outer"},
+		{"path without the slash of the prefix", "a.example", "/x", ""},
+		{"prefix that ends inside a path segment", "a.example", "/xy/", ""},
+		{"other host, with a port", "b.example:8080", "/x/y/", "other"},
+		{"host in other case", "B.Example", "/x/", "other"},
 		{"unknown host", "c.example", "/x/", ""},
 	}
 	for _, tt := range tests {
