--- a/core/peer/compress.go
+++ b/core/peer/compress.go
@@ -8,12 +8,12 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// compressed is the bit of a frame's kind that marks a body compressed with Zstandard (RFC 8878).
-const compressed Kind = 0x80
+// compressedBit is the bit of a frame's kind that marks a body compressed with Zstandard (RFC 8878).
+const compressedBit Kind = 0x80
 
-// minCompressed is the size of a body in bytes from which compressing it saves more time on a link of 10 Mbit/s than it
-// takes on a slow processor. Versions of the declarations shrink to about a tenth.
-const minCompressed = 16 << 10
+// minCompressBytes is the body size in bytes from which compression saves more time on a 10 Mbit/s link than it takes on a
+// slow processor. It reduces versions of the declarations to about a tenth.
+const minCompressBytes = 16 << 10
 
 // codec holds the shared encoder and decoder, which are safe for concurrent use.
 type codec struct {
@@ -21,40 +21,40 @@
 	dec *zstd.Decoder
 }
 
-// shared is made at the first large frame, since its tables take memory.
-var shared = sync.OnceValues(func() (*codec, error) {
+// sharedCodec is created at the first large frame, since its tables take memory.
+var sharedCodec = sync.OnceValues(func() (*codec, error) {
 	enc, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
 	if err != nil {
-		return nil, errors.Wrap(err, "making the encoder")
+		return nil, errors.Wrap(err, "creating the Zstandard encoder")
 	}
 	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(MaxFrameBytes))
 	if err != nil {
-		return nil, errors.Wrap(err, "making the decoder")
+		return nil, errors.Wrap(err, "creating the Zstandard decoder")
 	}
 	return &codec{enc: enc, dec: dec}, nil
 })
 
-// compress replaces a large body at the end of buf by its compressed form; it reports whether it did.
+// compress replaces a large body at the end of buf with its compressed form and reports whether it did.
 func compress(buf *bytes.Buffer, body []byte) (bool, error) {
-	if len(body) < minCompressed {
+	if len(body) < minCompressBytes {
 		return false, nil
 	}
-	c, err := shared()
+	c, err := sharedCodec()
 	if err != nil {
 		return false, err
 	}
-	small := c.enc.EncodeAll(body, nil)
-	if len(small) >= len(body) {
+	packed := c.enc.EncodeAll(body, nil)
+	if len(packed) >= len(body) {
 		return false, nil
 	}
 	buf.Truncate(buf.Len() - len(body))
-	buf.Write(small)
+	buf.Write(packed)
 	return true, nil
 }
 
-// decompress returns the body of a compressed frame, of MaxFrameBytes at most.
+// decompress returns the decompressed body of a frame, at most MaxFrameBytes.
 func decompress(body []byte) ([]byte, error) {
-	c, err := shared()
+	c, err := sharedCodec()
 	if err != nil {
 		return nil, err
 	}
--- a/core/peer/compress_test.go
+++ b/core/peer/compress_test.go
@@ -14,8 +14,8 @@
 	"rattantrack.dev/core/settings"
 )
 
-// version returns a version of the declarations with n routes.
-func version(n int) *DeltaReply {
+// deltaWithRoutes returns a delta of the declarations with n routes.
+func deltaWithRoutes(n int) *DeltaReply {
 	r := &DeltaReply{}
 	for i := range n {
 		r.Delta.Documents = append(r.Delta.Documents, settings.Document{
@@ -27,24 +27,24 @@
 	return r
 }
 
-// TestLargeFramesAreCompressed replays a version with many routes that is told to a router behind a slow link.
+// TestLargeFramesAreCompressed guards the size of a version with many routes that is sent over a slow link.
 func TestLargeFramesAreCompressed(t *testing.T) {
 	tests := []struct {
 		name   string
 		routes int
-		// most is the largest size of the frame, in bytes for each route.
-		most int
+		// maxBytesPerRoute is the maximum size of the frame in bytes per route.
+		maxBytesPerRoute int
 	}{
-		{"a small version travels as it is", 3, 200},
-		{"a large one shrinks", 2000, 30},
+		{"small version is sent uncompressed", 3, 200},
+		{"large version is compressed", 2000, 30},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
 			var buf bytes.Buffer
-			want := version(tt.routes)
+			want := deltaWithRoutes(tt.routes)
 			c.Assert(appendFrame(&buf, 9, want), qt.IsNil)
-			c.Assert(buf.Len() <= tt.most*tt.routes, qt.IsTrue, qt.Commentf("%d bytes", buf.Len()))
+			c.Assert(buf.Len() <= tt.maxBytesPerRoute*tt.routes, qt.IsTrue, qt.Commentf("%d bytes", buf.Len()))
 			id, got, err := readFrame(bufio.NewReader(&buf))
 			c.Assert(err, qt.IsNil)
 			c.Assert(id, qt.Equals, StreamID(9))
@@ -53,26 +53,26 @@
 	}
 }
 
-func TestBytesThatDoNotShrinkTravelAsTheyAre(t *testing.T) {
+func TestIncompressibleBodyIsSentUncompressed(t *testing.T) {
 	c := qt.New(t)
-	noise := make([]byte, 2*minCompressed)
+	random := make([]byte, 2*minCompressBytes)
 	r := rand.NewChaCha8([32]byte{1})
-	_, _ = r.Read(noise)
+	_, _ = r.Read(random)
 	var buf bytes.Buffer
-	buf.Write(noise)
-	small, err := compress(&buf, buf.Bytes())
+	buf.Write(random)
+	done, err := compress(&buf, buf.Bytes())
 	c.Assert(err, qt.IsNil)
-	c.Assert(small, qt.IsFalse)
-	c.Assert(buf.Bytes(), qt.DeepEquals, noise)
+	c.Assert(done, qt.IsFalse)
+	c.Assert(buf.Bytes(), qt.DeepEquals, random)
 }
 
-// TestCompressedFrameIsBounded replays a peer whose small frame would take more memory than any frame may.
+// TestCompressedFrameIsBounded guards against a small frame that would decompress to more than the maximum frame size.
 func TestCompressedFrameIsBounded(t *testing.T) {
 	c := qt.New(t)
-	codec, err := shared()
+	codec, err := sharedCodec()
 	c.Assert(err, qt.IsNil)
 	bomb := codec.enc.EncodeAll(make([]byte, 2*MaxFrameBytes), nil)
-	_, err = decodeBody(KindDelta|compressed, bomb)
+	_, err = decodeBody(KindDeltaReply|compressedBit, bomb)
 	var malformed *FrameError
 	c.Assert(errors.As(err, &malformed), qt.IsTrue, qt.Commentf("%v", err))
 }
--- a/core/peer/control.go
+++ b/core/peer/control.go
@@ -5,10 +5,10 @@
 	"rattantrack.dev/core/settings"
 )
 
-// Incarnation identifies one life of a process.
+// Incarnation identifies one run of a process. It changes with each restart.
 type Incarnation string
 
-// Role tells what kind of process is at the other end.
+// Role is the kind of process at the other end of a link.
 type Role string
 
 // The roles of processes.
@@ -17,10 +17,10 @@
 	RoleSide   Role = "side"
 )
 
-// ProtocolVersion is the version that Hello announces.
+// ProtocolVersion is the version of the protocol that Hello carries.
 const ProtocolVersion = 1
 
-// Hello is the first message each way.
+// Hello is the first message in each direction of a link.
 type Hello struct {
 	Protocol    int
 	Role        Role
@@ -28,21 +28,21 @@
 	DataCentre  settings.DataCentre
 	Incarnation Incarnation
 	Revision    settings.Revision
-	// Sent is the sender's clock, against which later stamps on the link are compared.
+	// Sent is the sender's clock. It is the first sample for Link.Lateness.
 	Sent clock.Instant
 }
 
 // Kind returns KindHello.
 func (*Hello) Kind() Kind { return KindHello }
 
-// Ping asks for a Pong, to show that the link still carries bytes.
+// Ping requests a Pong, which shows that the link still carries data.
 type Ping struct {
 }
 
 // Kind returns KindPing.
 func (*Ping) Kind() Kind { return KindPing }
 
-// Pong answers a Ping.
+// Pong is the reply to Ping.
 type Pong struct {
 }
 
@@ -57,7 +57,7 @@
 // Kind returns KindReset.
 func (*Reset) Kind() Kind { return KindReset }
 
-// Window lets the sender of chunks send N more.
+// Window allows the sender of chunks to send N more.
 type Window struct {
 	N int
 }
--- a/core/peer/declarations.go
+++ b/core/peer/declarations.go
@@ -5,7 +5,7 @@
 	"rattantrack.dev/core/settings"
 )
 
-// Announce tells a neighbour which version is in force here.
+// Announce carries the version of the declarations that is in force at the sender.
 type Announce struct {
 	Version revision.Version
 }
@@ -13,7 +13,7 @@
 // Kind returns KindAnnounce.
 func (*Announce) Kind() Kind { return KindAnnounce }
 
-// Pull asks for what changed after a revision.
+// Pull requests the changes after a revision.
 type Pull struct {
 	Since settings.Revision
 }
@@ -21,10 +21,10 @@
 // Kind returns KindPull.
 func (*Pull) Kind() Kind { return KindPull }
 
-// DeltaReply answers Pull.
+// DeltaReply is the reply to Pull.
 type DeltaReply struct {
 	Delta revision.Delta
 }
 
 // Kind returns KindDelta.
-func (*DeltaReply) Kind() Kind { return KindDelta }
+func (*DeltaReply) Kind() Kind { return KindDeltaReply }
--- a/core/peer/dial.go
+++ b/core/peer/dial.go
@@ -12,20 +12,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// defaultDialTime is how long a link may take to be made, between regions as well.
-const defaultDialTime = time.Second
+// defaultDialTimeout limits the time to establish a link, also between regions.
+const defaultDialTimeout = time.Second
 
-// ForbiddenError reports a process that called from outside the allowed networks.
+// ForbiddenError reports a connection from outside the allowed networks.
 type ForbiddenError struct {
 	Address string
 }
 
 func (e *ForbiddenError) Error() string { return "peer not allowed: " + e.Address }
 
-// Networks is the set of networks whose processes may connect.
+// Networks is the set of networks from which processes may connect.
 type Networks []netip.Prefix
 
-// ParseNetworks parses networks in CIDR form.
+// ParseNetworks parses networks in CIDR notation.
 func ParseNetworks(texts []string) (Networks, error) {
 	var n Networks
 	for _, text := range texts {
@@ -52,27 +52,29 @@
 	return false
 }
 
-// Endpoint accepts and dials links for one process; links are kept by address and dialled anew when they end.
+// Endpoint accepts and dials links for one process. It keeps dialled links by address and dials again after one has ended.
 type Endpoint struct {
+	// Local returns the Hello of this process.
 	Local   func() Hello
 	Handler Handler
 	Allow   Networks
-	// OnReject hears of connections that were turned away.
+	// OnReject is called for each rejected connection.
 	OnReject func(err error)
-	// Identity encrypts the links and proves both ends to each other, where it is set.
+	// Identity encrypts the links and authenticates both ends to each other. Without it, links are plain TCP.
 	Identity *Identity
-	// MaxDialled bounds the links that this process keeps towards others; the one idle for longest goes first.
+	// MaxDialled limits the dialled links, 0 for no limit. Above it, links without streams are closed, longest idle first.
 	MaxDialled int
-	// DialTimeout is how long a link may take to be made, 0 for 1 s.
+	// DialTimeout limits the time to establish a link, 0 for 1 s.
 	DialTimeout time.Duration
 
-	mu    sync.Mutex
-	links map[string]*dialled
-	all   map[*Link]string
+	mu sync.Mutex
+	// dialled holds the outgoing links by address, and addresses the remote address of each open link.
+	dialled   map[string]*dialledLink
+	addresses map[*Link]string
 }
 
-// dialled is a link that is there or being made.
-type dialled struct {
+// dialledLink is a link that is established or being established.
+type dialledLink struct {
 	ready chan struct{}
 	link  *Link
 	err   error
@@ -95,26 +97,26 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			e.welcome(ctx, conn)
+			e.accept(ctx, conn)
 		}()
 	}
 }
 
-func (e *Endpoint) welcome(ctx context.Context, conn net.Conn) {
+func (e *Endpoint) accept(ctx context.Context, conn net.Conn) {
 	if !e.Allow.Allows(conn.RemoteAddr()) {
 		_ = conn.Close()
 		e.reject(&ForbiddenError{Address: conn.RemoteAddr().String()})
 		return
 	}
 	if e.Identity != nil {
-		conn = tls.Server(conn, e.Identity.Server())
+		conn = tls.Server(conn, e.Identity.ServerConfig())
 	}
 	l, err := newLink(ctx, conn, e.Local(), false)
 	if err != nil {
 		e.reject(err)
 		return
 	}
-	e.keep(l, conn.RemoteAddr().String())
+	e.track(l, conn.RemoteAddr().String())
 	l.Serve(e.Handler)
 }
 
@@ -124,18 +126,18 @@
 	}
 }
 
-// keep remembers a link until it ends.
-func (e *Endpoint) keep(l *Link, address string) {
+// track records a link and its address until the link ends.
+func (e *Endpoint) track(l *Link, address string) {
 	e.mu.Lock()
-	if e.all == nil {
-		e.all = make(map[*Link]string)
+	if e.addresses == nil {
+		e.addresses = make(map[*Link]string)
 	}
-	e.all[l] = address
+	e.addresses[l] = address
 	e.mu.Unlock()
 	l.onEnd(func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		delete(e.all, l)
+		delete(e.addresses, l)
 	})
 }
 
@@ -143,18 +145,18 @@
 func (e *Endpoint) Links() []*Link {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	links := make([]*Link, 0, len(e.all))
-	for l := range e.all {
+	links := make([]*Link, 0, len(e.addresses))
+	for l := range e.addresses {
 		links = append(links, l)
 	}
 	return links
 }
 
-// Address returns where a link leads.
+// Address returns the remote address of a link.
 func (e *Endpoint) Address(l *Link) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.all[l]
+	return e.addresses[l]
 }
 
 // Close ends every link.
@@ -164,16 +166,16 @@
 	}
 }
 
-// Dial returns the link to an address, making it if there is none.
+// Dial returns the link to an address and establishes one if there is none.
 func (e *Endpoint) Dial(ctx context.Context, address string) (*Link, error) {
 	e.mu.Lock()
-	d := e.links[address]
+	d := e.dialled[address]
 	if d == nil {
-		d = &dialled{ready: make(chan struct{})}
-		if e.links == nil {
-			e.links = make(map[string]*dialled)
+		d = &dialledLink{ready: make(chan struct{})}
+		if e.dialled == nil {
+			e.dialled = make(map[string]*dialledLink)
 		}
-		e.links[address] = d
+		e.dialled[address] = d
 		go e.connect(address, d)
 		defer e.trim()
 	}
@@ -186,21 +188,21 @@
 	}
 }
 
-// trim ends the dialled links that were idle for longest, while there are too many.
+// trim closes dialled links, longest idle first, while there are too many.
 func (e *Endpoint) trim() {
-	for victim := e.idlest(); victim != nil; victim = e.idlest() {
-		victim.Close(nil)
+	for idlest := e.longestIdle(); idlest != nil; idlest = e.longestIdle() {
+		idlest.Close(nil)
 	}
 }
 
-func (e *Endpoint) idlest() *Link {
+func (e *Endpoint) longestIdle() *Link {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.MaxDialled == 0 || len(e.links) <= e.MaxDialled {
+	if e.MaxDialled == 0 || len(e.dialled) <= e.MaxDialled {
 		return nil
 	}
-	var victim *Link
-	for _, d := range e.links {
+	var idlest *Link
+	for _, d := range e.dialled {
 		select {
 		case <-d.ready:
 		default:
@@ -209,29 +211,29 @@
 		if d.link == nil || d.link.OpenStreams() > 0 {
 			continue
 		}
-		if victim == nil || d.link.IdleFor() > victim.IdleFor() {
-			victim = d.link
+		if idlest == nil || d.link.IdleFor() > idlest.IdleFor() {
+			idlest = d.link
 		}
 	}
-	return victim
+	return idlest
 }
 
-// connect makes a link for everybody who waits for it and forgets it when it ends.
-func (e *Endpoint) connect(address string, d *dialled) {
-	ctx, cancel := context.WithTimeout(context.Background(), cmp.Or(e.DialTimeout, defaultDialTime))
+// connect establishes a link for all callers that wait for it and removes it when it ends.
+func (e *Endpoint) connect(address string, d *dialledLink) {
+	ctx, cancel := context.WithTimeout(context.Background(), cmp.Or(e.DialTimeout, defaultDialTimeout))
 	defer cancel()
 	d.link, d.err = e.dial(ctx, address)
 	close(d.ready)
-	forget := func() {
+	remove := func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		delete(e.links, address)
+		delete(e.dialled, address)
 	}
 	if d.err != nil {
-		forget()
+		remove()
 		return
 	}
-	d.link.onEnd(forget)
+	d.link.onEnd(remove)
 }
 
 func (e *Endpoint) dial(ctx context.Context, address string) (*Link, error) {
@@ -241,26 +243,26 @@
 		return nil, errors.Wrapf(err, "dialling %s", address)
 	}
 	if e.Identity != nil {
-		conn = tls.Client(conn, e.Identity.Client())
+		conn = tls.Client(conn, e.Identity.ClientConfig())
 	}
 	l, err := newLink(ctx, conn, e.Local(), true)
 	if err != nil {
-		return nil, errors.Wrapf(err, "greeting %s", address)
+		return nil, errors.Wrapf(err, "handshake with %s", address)
 	}
-	e.keep(l, address)
+	e.track(l, address)
 	l.Serve(e.Handler)
 	return l, nil
 }
 
-// Redial returns a new link to an address in place of one that is no longer trusted.
+// Redial closes a link that no longer responds and returns a new one to the address.
 func (e *Endpoint) Redial(ctx context.Context, address string, old *Link) (*Link, error) {
 	if old != nil {
-		old.Close(&SilentError{For: old.IdleFor()})
+		old.Close(&UnresponsiveError{For: old.IdleFor()})
 	}
 	return e.Dial(ctx, address)
 }
 
-// CloseIdle ends links that carry no stream and have been silent for longer than limit.
+// CloseIdle closes links that carry no stream and have received nothing for longer than limit.
 func (e *Endpoint) CloseIdle(limit time.Duration) {
 	for _, l := range e.Links() {
 		if l.OpenStreams() == 0 && l.IdleFor() > limit {
--- a/core/peer/doc.go
+++ b/core/peer/doc.go
@@ -1,2 +1,2 @@
-// Package peer is the protocol between the system's own processes: framed msgpack messages on multiplexed TCP links.
+// Package peer implements the protocol among routers and sides: framed msgpack messages on multiplexed TCP links.
 package peer
--- a/core/peer/frame.go
+++ b/core/peer/frame.go
@@ -12,27 +12,27 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// FrameError reports bytes that are no frame of the protocol.
+// FrameError reports a frame or message that the protocol does not allow.
 type FrameError struct {
 	Reason string
 }
 
 func (e *FrameError) Error() string { return "malformed frame: " + e.Reason }
 
-// Sizes of the frame format: length, kind and stream before the msgpack body.
+// Sizes of the frame format. Length, kind and stream ID precede the msgpack body.
 const (
 	lengthBytes   = 4
-	headBytes     = lengthBytes + 1 + 8
+	headerBytes   = lengthBytes + 1 + 8
 	MaxFrameBytes = 8 << 20
 )
 
 var encoders = sync.Pool{New: func() any { return msgpack.NewEncoder(nil) }}
 
-// appendFrame encodes a message as one frame.
+// appendFrame appends a message to buf as one frame.
 func appendFrame(buf *bytes.Buffer, id StreamID, m Message) error {
 	start := buf.Len()
-	var head [headBytes]byte
-	buf.Write(head[:])
+	var header [headerBytes]byte
+	buf.Write(header[:])
 	enc, _ := encoders.Get().(*msgpack.Encoder)
 	enc.Reset(buf)
 	enc.UseArrayEncodedStructs(true)
@@ -45,38 +45,38 @@
 	size := buf.Len() - start
 	if size > MaxFrameBytes {
 		buf.Truncate(start)
-		return &FrameError{Reason: fmt.Sprintf("%d bytes exceed the largest frame", size)}
+		return &FrameError{Reason: fmt.Sprintf("%d bytes exceed the maximum frame size", size)}
 	}
 	kind := m.Kind()
-	small, err := compress(buf, buf.Bytes()[start+headBytes:])
+	isCompressed, err := compress(buf, buf.Bytes()[start+headerBytes:])
 	if err != nil {
 		buf.Truncate(start)
 		return err
 	}
-	if small {
-		kind |= compressed
+	if isCompressed {
+		kind |= compressedBit
 	}
-	putHead(buf.Bytes()[start:], kind, id)
+	putHeader(buf.Bytes()[start:], kind, id)
 	return nil
 }
 
-// FrameSize returns the bytes that a message takes as a frame.
+// FrameSize returns the number of bytes of a message's frame.
 func FrameSize(m Message) (int, error) {
 	var buf bytes.Buffer
 	err := appendFrame(&buf, 0, m)
 	return buf.Len(), err
 }
 
-// decodeBody decodes the body of a frame of the given kind.
+// decodeBody decodes the body of a frame, which is compressed if its kind has the compressed bit.
 func decodeBody(k Kind, body []byte) (Message, error) {
-	if k&compressed != 0 {
+	if k&compressedBit != 0 {
 		plain, err := decompress(body)
 		if err != nil {
 			return nil, err
 		}
-		k, body = k&^compressed, plain
+		k, body = k&^compressedBit, plain
 	}
-	m := empty(k)
+	m := newMessage(k)
 	if m == nil {
 		return nil, &FrameError{Reason: fmt.Sprintf("unknown kind %d", k)}
 	}
@@ -86,8 +86,8 @@
 	return m, nil
 }
 
-// putHead writes length, kind and stream into the first bytes of a frame.
-func putHead(frame []byte, k Kind, id StreamID) {
+// putHeader writes length, kind and stream ID into the first bytes of a frame.
+func putHeader(frame []byte, k Kind, id StreamID) {
 	binary.BigEndian.PutUint32(frame, uint32(len(frame)-lengthBytes))
 	frame[lengthBytes] = byte(k)
 	binary.BigEndian.PutUint64(frame[lengthBytes+1:], uint64(id))
@@ -95,11 +95,11 @@
 
 // readFrame reads one frame and decodes its message.
 func readFrame(r *bufio.Reader) (StreamID, Message, error) {
-	var head [headBytes]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var header [headerBytes]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return 0, nil, err
 	}
-	size := int(binary.BigEndian.Uint32(head[:])) - (headBytes - lengthBytes)
+	size := int(binary.BigEndian.Uint32(header[:])) - (headerBytes - lengthBytes)
 	if size < 0 || size > MaxFrameBytes {
 		return 0, nil, &FrameError{Reason: fmt.Sprintf("body of %d bytes", size)}
 	}
@@ -107,6 +107,6 @@
 	if _, err := io.ReadFull(r, body); err != nil {
 		return 0, nil, err
 	}
-	m, err := decodeBody(Kind(head[lengthBytes]), body)
-	return StreamID(binary.BigEndian.Uint64(head[lengthBytes+1:])), m, err
+	m, err := decodeBody(Kind(header[lengthBytes]), body)
+	return StreamID(binary.BigEndian.Uint64(header[lengthBytes+1:])), m, err
 }
--- a/core/peer/header.go
+++ b/core/peer/header.go
@@ -2,8 +2,8 @@
 
 import "net/http"
 
-// connectionHeaders concern one connection only and are not passed on (RFC 9110, section 7.6.1); lengths and dates are
-// set anew on each connection.
+// connectionHeaders apply to one connection only and are not forwarded (RFC 9110, section 7.6.1). Lengths and dates are set
+// anew on each connection.
 var connectionHeaders = map[string]bool{
 	"Connection":        true,
 	"Keep-Alive":        true,
@@ -16,7 +16,7 @@
 	"Accept-Encoding":   true,
 }
 
-// EndToEndHeaders returns the header fields that are passed on, without those that drop reports.
+// EndToEndHeaders returns the header fields to forward, without those for which drop returns true.
 func EndToEndHeaders(h http.Header, drop func(name string) bool) []Header {
 	var list []Header
 	for name, values := range h {
--- a/core/peer/keys.go
+++ b/core/peer/keys.go
@@ -6,43 +6,46 @@
 	"rattantrack.dev/core/settings"
 )
 
-// KeyRecord is what a side remembers of one idempotency key.
+// KeyRecord is what a side stores about one idempotency key.
 type KeyRecord struct {
 	Key        string
 	BodyDigest uint64
-	State      uint8
-	Status     int
-	Headers    []Header
-	Answer     []byte
-	Remaining  time.Duration
+	// State is an outcome.State, the state of the key's run.
+	State uint8
+	// Status, Headers and Answer are the recorded response.
+	Status  int
+	Headers []Header
+	Answer  []byte
+	// Remaining is the time until the record expires.
+	Remaining time.Duration
 }
 
-// Claim asks another side for the records of the keys that are now the asking side's own.
+// Claim requests from another side the records of the keys whose primary is now the claiming side.
 type Claim struct {
 	From    settings.UpstreamID
 	Service settings.ServiceName
-	// Ended is the revision that may have taken keys from the asked side.
+	// Ended is the revision that may have moved keys away from the receiving side.
 	Ended settings.Revision
-	// Restarted says that the asking process has just begun and wants what its predecessor left.
+	// Restarted reports that the claiming process has just started and also requests the handover of its predecessor.
 	Restarted bool
 }
 
 // Kind returns KindClaim.
 func (*Claim) Kind() Kind { return KindClaim }
 
-// Handover answers a Claim, or leaves a stopping side's records with another side.
+// Handover is the reply to a Claim, or transfers the records of a stopping side to another side.
 type Handover struct {
 	From    settings.UpstreamID
 	Service settings.ServiceName
-	// Ended is the revision that was asked about, and Revision the one in force at the sender, which runs no key
-	// that either of them gives to others.
+	// Ended is the revision that the claim named, and Revision the one in force at the sender. The sender runs no key
+	// that either of them moves to another side.
 	Ended    settings.Revision
 	Revision settings.Revision
-	// Covered says that the sender could itself vouch for the keys it had before.
+	// Covered reports whether the sender could itself rule out unknown earlier runs of the keys that it was the primary of.
 	Covered bool
-	// Complete says that the records are those of the asking side's predecessor, whole.
+	// Complete reports that the records are all those that a stopped process handed over for its successor.
 	Complete bool
-	// Age is how long the handover has been kept.
+	// Age is how long the handover was stored at the sender.
 	Age     time.Duration
 	Records []KeyRecord
 }
@@ -50,25 +53,26 @@
 // Kind returns KindHandover.
 func (*Handover) Kind() Kind { return KindHandover }
 
-// HandoverAck confirms that a handover is kept.
+// HandoverAck confirms that a handover is stored.
 type HandoverAck struct {
 }
 
 // Kind returns KindKept.
-func (*HandoverAck) Kind() Kind { return KindKept }
+func (*HandoverAck) Kind() Kind { return KindHandoverAck }
 
-// LeavingLease is how long a router's word that a side is listed as leaving holds without renewal.
+// LeavingLease is how long a router's report that a side is listed as leaving is valid without renewal.
 const LeavingLease = 10 * time.Second
 
-// FetchPrefix asks a side for the prefix of a chat in its engine's cache; chunks and an End answer it.
+// FetchPrefix requests a chat's prefix from the cache of a side's engine. The reply is a series of chunks and an End.
 type FetchPrefix struct {
 	Chat uint64
 }
 
 // Kind returns KindFetch.
-func (*FetchPrefix) Kind() Kind { return KindFetch }
+func (*FetchPrefix) Kind() Kind { return KindFetchPrefix }
 
-// Leaving says that the sending side takes no more work; from a router, that the receiving side is listed as leaving.
+// Leaving from a side reports that it takes no more work. From a router it reports that the receiving side is listed as
+// leaving.
 type Leaving struct {
 }
 
--- a/core/peer/link.go
+++ b/core/peer/link.go
@@ -14,12 +14,12 @@
 	"rattantrack.dev/core/clock"
 )
 
-// Times of the link's own heartbeat, which runs only while a stream is open.
+// Timing of a link. The heartbeat runs only while a stream is open.
 const (
 	heartbeatInterval = 500 * time.Millisecond
-	silenceLimit      = 2 * time.Second
-	writeLimit        = 2 * time.Second
-	helloLimit        = 2 * time.Second
+	receiveTimeout    = 2 * time.Second
+	writeTimeout      = 2 * time.Second
+	helloTimeout      = 2 * time.Second
 )
 
 // Sizes of a link's buffers.
@@ -27,11 +27,11 @@
 	readBufferBytes  = 4 << 10
 	writeBatchBytes  = 64 << 10
 	writeQueueLength = 64
-	// maxInboundStreams bounds the streams that the other end may have open.
+	// maxInboundStreams limits the streams that the other end may have open.
 	maxInboundStreams = 4096
 )
 
-// LinkClosedError reports a link that can carry nothing more.
+// LinkClosedError reports that a link has ended.
 type LinkClosedError struct {
 	Cause error
 }
@@ -43,22 +43,22 @@
 	return "link closed: " + e.Cause.Error()
 }
 
-// Unwrap returns what ended the link.
+// Unwrap returns the cause of the link's end.
 func (e *LinkClosedError) Unwrap() error { return e.Cause }
 
-// SilentError reports a link on which nothing arrived for too long.
-type SilentError struct {
+// UnresponsiveError reports a link that has received nothing for too long.
+type UnresponsiveError struct {
 	For time.Duration
 }
 
-func (e *SilentError) Error() string { return "nothing received for " + e.For.String() }
+func (e *UnresponsiveError) Error() string { return "nothing received for " + e.For.String() }
 
 // Handler serves the streams that the other end opens.
 type Handler interface {
 	Serve(ctx context.Context, s *Stream, m Message)
 }
 
-// outgoing is one encoded frame on its way to the writer.
+// outgoing is a message that is queued for the writer.
 type outgoing struct {
 	id StreamID
 	m  Message
@@ -71,23 +71,23 @@
 	remote Hello
 	queue  chan outgoing
 	closed chan struct{}
-	// lastReceived is the time of the last bytes, in nanoseconds of the process's monotonic clock.
-	lastReceived atomic.Int64
-	open         atomic.Int64
-	inbound      atomic.Int64
-	bytesOut     atomic.Int64
-	bytesIn      atomic.Int64
-
-	mu      sync.Mutex
-	cause   error
-	streams map[StreamID]*Stream
-	nextID  StreamID
-	beating bool
-	// handlers hands the handler to the reader once.
+	// lastReceived is the time of the last received frame, in nanoseconds of the process's monotonic clock.
+	lastReceived   atomic.Int64
+	openStreams    atomic.Int64
+	inboundStreams atomic.Int64
+	bytesOut       atomic.Int64
+	bytesIn        atomic.Int64
+
+	mu               sync.Mutex
+	cause            error
+	streams          map[StreamID]*Stream
+	nextID           StreamID
+	heartbeatRunning bool
+	// handlers passes the handler to the reader once.
 	handlers chan Handler
-	// quickest is the smallest difference of clocks seen on a stamped message.
-	quickest time.Duration
-	measured bool
+	// minOffset is the smallest difference between the local clock and a message's timestamp so far.
+	minOffset time.Duration
+	hasOffset bool
 	// hooks run once, when the link has ended.
 	hooks []func()
 }
@@ -96,7 +96,7 @@
 
 func monotonic() time.Duration { return time.Since(processStart) }
 
-// newLink exchanges hellos on conn and returns the link; the dialler numbers its streams oddly.
+// newLink exchanges Hello messages on conn and returns the link. The dialler uses odd stream numbers.
 func newLink(ctx context.Context, conn net.Conn, local Hello, dialler bool) (*Link, error) {
 	l := &Link{
 		conn:    conn,
@@ -111,23 +111,23 @@
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	if err := conn.SetDeadline(time.Now().Add(helloLimit)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return nil, errors.Wrap(err, "setting deadline")
 	}
 	r := bufio.NewReaderSize(conn, readBufferBytes)
-	if err := l.greet(r); err != nil {
+	if err := l.handshake(r); err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
 	if err := conn.SetDeadline(time.Time{}); err != nil {
 		return nil, errors.Wrap(err, "clearing deadline")
 	}
-	l.received()
+	l.markReceived()
 	l.start(r)
 	return l, nil
 }
 
-func (l *Link) greet(r *bufio.Reader) error {
+func (l *Link) handshake(r *bufio.Reader) error {
 	var buf bytes.Buffer
 	if err := appendFrame(&buf, 0, &l.local); err != nil {
 		return err
@@ -141,47 +141,47 @@
 	}
 	hello, ok := m.(*Hello)
 	if !ok {
-		return &FrameError{Reason: "first message is no hello"}
+		return &FrameError{Reason: "first message is not a hello"}
 	}
 	if hello.Protocol != ProtocolVersion {
-		return &FrameError{Reason: "other protocol version"}
+		return &FrameError{Reason: "unsupported protocol version"}
 	}
 	l.remote = *hello
 	l.Lateness(hello.Sent)
 	return nil
 }
 
-// Lateness returns how much longer than the quickest message of the link a message with this stamp took.
-// A message that waited in a paused process or a broken network shows so, though the clocks are not compared.
+// Lateness returns how much longer a message with this timestamp took than the fastest message of the link so far. It
+// reveals a delay in a paused process or a broken network without synchronized clocks.
 func (l *Link) Lateness(sent clock.Instant) time.Duration {
 	offset := clock.Boot{}.Now().Sub(sent)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.measured || offset < l.quickest {
-		l.quickest = offset
-		l.measured = true
+	if !l.hasOffset || offset < l.minOffset {
+		l.minOffset = offset
+		l.hasOffset = true
 	}
-	return offset - l.quickest
+	return offset - l.minOffset
 }
 
-// Remote returns what the other end said of itself.
+// Remote returns the Hello of the other end.
 func (l *Link) Remote() Hello { return l.remote }
 
 // Done is closed when the link has ended.
 func (l *Link) Done() <-chan struct{} { return l.closed }
 
 // OpenStreams returns the number of streams open on the link.
-func (l *Link) OpenStreams() int64 { return l.open.Load() }
+func (l *Link) OpenStreams() int64 { return l.openStreams.Load() }
 
-// Bytes returns the bytes sent and received so far.
+// Bytes returns the number of bytes sent and received so far.
 func (l *Link) Bytes() (out, in int64) { return l.bytesOut.Load(), l.bytesIn.Load() }
 
-// IdleFor returns how long nothing has arrived.
+// IdleFor returns the time since the last frame was received.
 func (l *Link) IdleFor() time.Duration {
 	return monotonic() - time.Duration(l.lastReceived.Load())
 }
 
-func (l *Link) received() { l.lastReceived.Store(int64(monotonic())) }
+func (l *Link) markReceived() { l.lastReceived.Store(int64(monotonic())) }
 
 // Err returns why the link ended, as a LinkClosedError.
 func (l *Link) Err() error {
@@ -210,7 +210,7 @@
 	return l.hooks
 }
 
-// Ended reports whether the link can carry nothing more.
+// Ended reports whether the link has ended.
 func (l *Link) Ended() bool {
 	select {
 	case <-l.closed:
@@ -220,7 +220,7 @@
 	}
 }
 
-// onEnd runs hook when the link ends, at once if it has.
+// onEnd runs hook when the link ends, or at once if it has ended.
 func (l *Link) onEnd(hook func()) {
 	l.mu.Lock()
 	ended := l.Ended()
@@ -248,14 +248,14 @@
 	}
 }
 
-// start runs the writer; the reader needs a handler and runs in Serve.
+// start starts the writer and the reader. The reader waits for the handler from Serve.
 func (l *Link) start(r *bufio.Reader) {
-	go l.write()
-	l.reader(r)
+	go l.writeLoop()
+	l.startReader(r)
 }
 
-// write encodes queued messages and flushes whenever the queue is empty.
-func (l *Link) write() {
+// writeLoop sends queued messages in batches until the link ends.
+func (l *Link) writeLoop() {
 	var buf bytes.Buffer
 	for {
 		select {
@@ -265,7 +265,7 @@
 			buf.Reset()
 			l.encode(&buf, o)
 		}
-		l.batch(&buf)
+		l.appendQueued(&buf)
 		if err := l.flush(&buf); err != nil {
 			l.Close(errors.Wrap(err, "writing"))
 			return
@@ -273,8 +273,8 @@
 	}
 }
 
-// batch adds what is queued already, so that one write carries many small frames.
-func (l *Link) batch(buf *bytes.Buffer) {
+// appendQueued appends the messages that are queued already, so that one write carries many small frames.
+func (l *Link) appendQueued(buf *bytes.Buffer) {
 	for buf.Len() < writeBatchBytes {
 		select {
 		case o := <-l.queue:
@@ -290,12 +290,12 @@
 	if err == nil {
 		return
 	}
-	// The message cannot be sent, so the other end must not wait for it.
+	// The message cannot be encoded. The reset keeps the other end from waiting for it.
 	_ = appendFrame(buf, o.id, &Reset{Reason: err.Error()})
 }
 
 func (l *Link) flush(buf *bytes.Buffer) error {
-	if err := l.conn.SetWriteDeadline(time.Now().Add(writeLimit)); err != nil {
+	if err := l.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
 	n, err := l.conn.Write(buf.Bytes())
--- a/core/peer/link_test.go
+++ b/core/peer/link_test.go
@@ -24,7 +24,7 @@
 	c := qt.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	e := endpoint(t, h, allow)
+	e := newEndpoint(t, h, allow)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -39,7 +39,7 @@
 	return ln.Addr().String()
 }
 
-func endpoint(t *testing.T, h Handler, allow string) *Endpoint {
+func newEndpoint(t *testing.T, h Handler, allow string) *Endpoint {
 	t.Helper()
 	n, err := ParseNetworks([]string{allow})
 	qt.Assert(t, err, qt.IsNil)
@@ -48,7 +48,7 @@
 	return e
 }
 
-// verifyNoLeak checks after every other clean-up that no goroutine is left.
+// verifyNoLeak checks after all other cleanups that the test leaves no goroutine.
 func verifyNoLeak(t *testing.T) {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
@@ -57,8 +57,8 @@
 
 const loopback = "127.0.0.0/8"
 
-// counting answers a Submit with as many chunks as its offset says.
-func counting(ctx context.Context, s *Stream, m Message) {
+// serveChunks replies to a Submit with as many chunks as its Offset.
+func serveChunks(ctx context.Context, s *Stream, m Message) {
 	submit, ok := m.(*Submit)
 	if !ok {
 		return
@@ -76,8 +76,8 @@
 	c := qt.New(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	e := endpoint(t, nil, loopback)
-	l, err := e.Dial(ctx, listen(t, serveFunc(counting), loopback))
+	e := newEndpoint(t, nil, loopback)
+	l, err := e.Dial(ctx, listen(t, serveFunc(serveChunks), loopback))
 	c.Assert(err, qt.IsNil)
 	s, err := l.Open(ctx, &Submit{Offset: 1000})
 	c.Assert(err, qt.IsNil)
@@ -96,8 +96,8 @@
 	c := qt.New(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	e := endpoint(t, nil, loopback)
-	l, err := e.Dial(ctx, listen(t, serveFunc(counting), loopback))
+	e := newEndpoint(t, nil, loopback)
+	l, err := e.Dial(ctx, listen(t, serveFunc(serveChunks), loopback))
 	c.Assert(err, qt.IsNil)
 	slow, err := l.Open(ctx, &Submit{Offset: 100_000})
 	c.Assert(err, qt.IsNil)
@@ -112,26 +112,26 @@
 	c.Assert(len(slow.inbox) <= inboxLength, qt.IsTrue)
 }
 
-func TestUnknownPeerIsTurnedAway(t *testing.T) {
+func TestPeerOutsideAllowedNetworksIsRejected(t *testing.T) {
 	c := qt.New(t)
-	e := endpoint(t, nil, loopback)
-	_, err := e.Dial(context.Background(), listen(t, serveFunc(counting), "10.0.0.0/8"))
+	e := newEndpoint(t, nil, loopback)
+	_, err := e.Dial(context.Background(), listen(t, serveFunc(serveChunks), "10.0.0.0/8"))
 	c.Assert(err, qt.IsNotNil)
 }
 
-func TestSilentLinkEndsWithinThreeSeconds(t *testing.T) {
+func TestUnresponsiveLinkEndsWithinThreeSeconds(t *testing.T) {
 	c := qt.New(t)
 	relay := newRelay(t, listen(t, serveFunc(func(ctx context.Context, _ *Stream, _ Message) { <-ctx.Done() }), loopback))
-	e := endpoint(t, nil, loopback)
+	e := newEndpoint(t, nil, loopback)
 	l, err := e.Dial(context.Background(), relay.address)
 	c.Assert(err, qt.IsNil)
 	s, err := l.Open(context.Background(), &Submit{})
 	c.Assert(err, qt.IsNil)
-	relay.silence()
+	relay.discard()
 	_, err = s.Receive(context.Background())
-	var silent *SilentError
-	c.Assert(errors.As(err, &silent), qt.IsTrue)
-	c.Assert(silent.For < 3*time.Second, qt.IsTrue)
+	var unresponsive *UnresponsiveError
+	c.Assert(errors.As(err, &unresponsive), qt.IsTrue)
+	c.Assert(unresponsive.For < 3*time.Second, qt.IsTrue)
 	fresh, err := e.Dial(context.Background(), relay.address)
 	c.Assert(err, qt.IsNil)
 	c.Assert(fresh != l, qt.IsTrue)
@@ -140,8 +140,8 @@
 func TestMalformedFrameEndsOnlyItsLink(t *testing.T) {
 	c := qt.New(t)
 	ctx := context.Background()
-	address := listen(t, serveFunc(counting), loopback)
-	e := endpoint(t, nil, loopback)
+	address := listen(t, serveFunc(serveChunks), loopback)
+	e := newEndpoint(t, nil, loopback)
 	good, err := e.Dial(ctx, address)
 	c.Assert(err, qt.IsNil)
 	conn, err := net.Dial("tcp", address)
@@ -172,8 +172,8 @@
 		if err != nil {
 			return
 		}
-		var again bytes.Buffer
-		if err := appendFrame(&again, 1, m); err != nil {
+		var reencoded bytes.Buffer
+		if err := appendFrame(&reencoded, 1, m); err != nil {
 			t.Fatalf("decoded message does not encode: %v", err)
 		}
 	})
--- a/core/peer/listener.go
+++ b/core/peer/listener.go
@@ -8,18 +8,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Listener is the service that accepts links for an endpoint and closes those that are not used.
+// Listener is the service that accepts links for an endpoint and closes unused ones.
 type Listener struct {
 	Address  string
 	Endpoint *Endpoint
-	// IdleTimeout is how long an unused link is kept.
+	// IdleTimeout is how long an unused link stays open.
 	IdleTimeout time.Duration
 }
 
 // String returns the service's name.
 func (l *Listener) String() string { return "listener" }
 
-// Run accepts links until ctx ends, and then ends them all.
+// Run accepts links until ctx ends and then closes all links.
 func (l *Listener) Run(ctx context.Context, ready func()) error {
 	ln, err := net.Listen("tcp", l.Address)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return l.Endpoint.Listen(ctx, ln)
 }
 
-// closeIdle looks for idle links until ctx ends; the function it returns waits for that.
+// closeIdle closes idle links at intervals until ctx ends. The returned function waits for that.
 func (l *Listener) closeIdle(ctx context.Context) (wait func()) {
 	done := make(chan struct{})
 	go func() {
--- a/core/peer/message.go
+++ b/core/peer/message.go
@@ -1,9 +1,9 @@
 package peer
 
-// Kind tells the messages apart on the wire.
+// Kind is the type of a message on the wire.
 type Kind uint8
 
-// The kinds of message.
+// The kinds of message. Their order is part of the wire format.
 const (
 	KindHello Kind = iota + 1
 	KindPing
@@ -17,20 +17,20 @@
 	KindChunk
 	KindEnd
 	KindCancel
-	KindQuery
-	KindState
-	KindIssue
-	KindIssued
-	KindPlaced
-	KindExchange
+	KindAttemptQuery
+	KindAttemptState
+	KindIssueTicket
+	KindTicketIssued
+	KindChatPlaced
+	KindLoadExchange
 	KindAnnounce
 	KindPull
-	KindDelta
+	KindDeltaReply
 	KindHandover
-	KindKept
+	KindHandoverAck
 	KindClaim
 	KindLeaving
-	KindFetch
+	KindFetchPrefix
 	KindRouterState
 )
 
@@ -39,11 +39,11 @@
 	Kind() Kind
 }
 
-// StreamID numbers the streams of one link; the dialler uses odd numbers, the acceptor even ones.
+// StreamID numbers the streams of one link. The dialler uses odd numbers and the acceptor even ones.
 type StreamID uint64
 
-// empty returns a new message of a kind, or nil for an unknown kind.
-func empty(k Kind) Message {
+// newMessage returns a new message of a kind, or nil for an unknown kind.
+func newMessage(k Kind) Message {
 	switch k {
 	case KindHello:
 		return &Hello{}
@@ -69,33 +69,33 @@
 		return &End{}
 	case KindCancel:
 		return &Cancel{}
-	case KindQuery:
+	case KindAttemptQuery:
 		return &AttemptQuery{}
-	case KindState:
+	case KindAttemptState:
 		return &AttemptState{}
-	case KindIssue:
+	case KindIssueTicket:
 		return &IssueTicket{}
-	case KindIssued:
+	case KindTicketIssued:
 		return &TicketIssued{}
-	case KindPlaced:
+	case KindChatPlaced:
 		return &ChatPlaced{}
-	case KindExchange:
+	case KindLoadExchange:
 		return &LoadExchange{}
 	case KindAnnounce:
 		return &Announce{}
 	case KindPull:
 		return &Pull{}
-	case KindDelta:
+	case KindDeltaReply:
 		return &DeltaReply{}
 	case KindHandover:
 		return &Handover{}
-	case KindKept:
+	case KindHandoverAck:
 		return &HandoverAck{}
 	case KindClaim:
 		return &Claim{}
 	case KindLeaving:
 		return &Leaving{}
-	case KindFetch:
+	case KindFetchPrefix:
 		return &FetchPrefix{}
 	case KindRouterState:
 		return &RouterState{}
--- a/core/peer/receive.go
+++ b/core/peer/receive.go
@@ -9,8 +9,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// reader starts the goroutine that reads frames and gives them to their streams.
-func (l *Link) reader(r *bufio.Reader) {
+// startReader starts the goroutine that reads frames and delivers them to their streams. It waits for the handler from Serve.
+func (l *Link) startReader(r *bufio.Reader) {
 	handlers := make(chan Handler, 1)
 	l.mu.Lock()
 	l.handlers = handlers
@@ -22,12 +22,12 @@
 		case <-l.closed:
 			return
 		}
-		l.Close(l.readAll(r, handler))
+		l.Close(l.readLoop(r, handler))
 	}()
 }
 
-// readAll reads until the link fails and then waits for the streams it is serving.
-func (l *Link) readAll(r *bufio.Reader, handler Handler) error {
+// readLoop reads frames until the link fails and then waits for the handlers that it started.
+func (l *Link) readLoop(r *bufio.Reader, handler Handler) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var wg sync.WaitGroup
@@ -39,7 +39,7 @@
 			l.Close(errors.Wrap(err, "reading"))
 			return err
 		}
-		l.received()
+		l.markReceived()
 		if err := l.dispatch(ctx, &wg, handler, id, m); err != nil {
 			l.Close(err)
 			return err
@@ -58,36 +58,37 @@
 		s.deliver(m)
 		return nil
 	}
-	if !l.foreign(id) || !opens(m) {
-		// A frame for a stream that has ended here is late and means nothing any more.
+	if !l.isRemoteID(id) || !opensStream(m) {
+		// The frame belongs to no open stream and cannot open one, for instance because it is late. It is dropped.
 		return nil
 	}
-	if l.inbound.Load() >= maxInboundStreams {
+	if l.inboundStreams.Load() >= maxInboundStreams {
 		return l.send(ctx, id, &Reset{Reason: "too many open streams"})
 	}
 	s := l.add(id)
-	l.inbound.Add(1)
+	l.inboundStreams.Add(1)
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		defer l.inbound.Add(-1)
+		defer l.inboundStreams.Add(-1)
 		defer s.Close()
 		handler.Serve(ctx, s, m)
 	}()
 	return nil
 }
 
-// foreign reports whether the other end numbers streams like id.
-func (l *Link) foreign(id StreamID) bool {
+// isRemoteID reports whether id has the parity of the streams that the other end opens.
+func (l *Link) isRemoteID(id StreamID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return id != 0 && id%2 != l.nextID%2
 }
 
-// opens reports whether a message may begin a stream.
-func opens(m Message) bool {
+// opensStream reports whether a message may open a stream.
+func opensStream(m Message) bool {
 	switch m.(type) {
-	case *Submit, *AttemptQuery, *IssueTicket, *ChatPlaced, *LoadExchange, *Announce, *Pull, *Claim, *Handover, *Leaving, *FetchPrefix, *RouterState:
+	case *Submit, *AttemptQuery, *IssueTicket, *ChatPlaced, *LoadExchange, *Announce, *Pull, *Claim, *Handover, *Leaving,
+		*FetchPrefix, *RouterState:
 		return true
 	}
 	return false
@@ -105,42 +106,42 @@
 	l.mu.Lock()
 	l.streams[id] = s
 	l.mu.Unlock()
-	if l.open.Add(1) == 1 {
-		l.beat()
+	if l.openStreams.Add(1) == 1 {
+		l.startHeartbeat()
 	}
 	return s
 }
 
-// beat starts the heartbeat unless it is running.
-func (l *Link) beat() {
+// startHeartbeat starts the heartbeat if it is not running.
+func (l *Link) startHeartbeat() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.beating {
+	if l.heartbeatRunning {
 		return
 	}
-	l.beating = true
-	// Silence counts from now: an idle link owes nobody a sign of life.
-	l.received()
+	l.heartbeatRunning = true
+	// An idle link has no heartbeat, so the time without a received frame counts from now.
+	l.markReceived()
 	time.AfterFunc(0, l.heartbeat)
 }
 
-// heartbeat pings, and ends the link after too long a silence; it stops when no stream is open.
+// heartbeat sends a ping, or closes the link if nothing was received for too long. It stops when no stream is open.
 func (l *Link) heartbeat() {
 	if l.Ended() {
 		return
 	}
-	if silence := l.IdleFor(); silence > silenceLimit {
-		l.Close(&SilentError{For: silence})
+	if idle := l.IdleFor(); idle > receiveTimeout {
+		l.Close(&UnresponsiveError{For: idle})
 		return
 	}
 	l.mu.Lock()
-	l.beating = l.open.Load() > 0
-	beating := l.beating
+	l.heartbeatRunning = l.openStreams.Load() > 0
+	running := l.heartbeatRunning
 	l.mu.Unlock()
-	if !beating {
+	if !running {
 		return
 	}
-	// A full queue means that the writer is busy, which its own deadline watches.
+	// A full queue means that the writer is busy, and the write deadline covers that case.
 	select {
 	case l.queue <- outgoing{m: &Ping{}}:
 	default:
@@ -148,7 +149,7 @@
 	time.AfterFunc(heartbeatInterval, l.heartbeat)
 }
 
-// Serve gives the streams that the other end opens to h; it must be called once.
+// Serve passes the streams that the other end opens to h. It must be called once.
 func (l *Link) Serve(h Handler) {
 	l.mu.Lock()
 	handlers := l.handlers
--- a/core/peer/relay_test.go
+++ b/core/peer/relay_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// relay passes bytes both ways until it goes silent; connections made later work again.
+// relay forwards bytes in both directions. silence stops its present connections, and later ones work again.
 type relay struct {
 	address string
 	target  string
@@ -20,9 +20,9 @@
 
 // pipe is one relayed connection.
 type pipe struct {
-	mu    sync.Mutex
-	quiet bool
-	ends  [2]net.Conn
+	mu         sync.Mutex
+	discarding bool
+	conns      [2]net.Conn
 }
 
 func newRelay(t *testing.T, target string) *relay {
@@ -36,8 +36,8 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		for _, p := range r.pipes {
-			_ = p.ends[0].Close()
-			_ = p.ends[1].Close()
+			_ = p.conns[0].Close()
+			_ = p.conns[1].Close()
 		}
 	})
 	return r
@@ -54,7 +54,7 @@
 			_ = in.Close()
 			continue
 		}
-		p := &pipe{ends: [2]net.Conn{in, out}}
+		p := &pipe{conns: [2]net.Conn{in, out}}
 		r.mu.Lock()
 		r.pipes = append(r.pipes, p)
 		r.mu.Unlock()
@@ -63,13 +63,13 @@
 	}
 }
 
-// silence makes every present connection swallow what it gets, without closing it.
-func (r *relay) silence() {
+// discard makes every present connection discard what it receives without closing it.
+func (r *relay) discard() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range r.pipes {
 		p.mu.Lock()
-		p.quiet = true
+		p.discarding = true
 		p.mu.Unlock()
 	}
 }
@@ -77,18 +77,18 @@
 func (p *pipe) copy(from, to int) {
 	buf := make([]byte, 4096)
 	for {
-		n, err := p.ends[from].Read(buf)
+		n, err := p.conns[from].Read(buf)
 		p.mu.Lock()
-		quiet := p.quiet
+		discarding := p.discarding
 		p.mu.Unlock()
-		if !quiet && n > 0 {
-			_, _ = p.ends[to].Write(buf[:n])
+		if !discarding && n > 0 {
+			_, _ = p.conns[to].Write(buf[:n])
 		}
 		if err == nil {
 			continue
 		}
-		if err == io.EOF && !quiet {
-			_ = p.ends[to].Close()
+		if err == io.EOF && !discarding {
+			_ = p.conns[to].Close()
 		}
 		return
 	}
--- a/core/peer/request.go
+++ b/core/peer/request.go
@@ -7,30 +7,30 @@
 	"rattantrack.dev/core/settings"
 )
 
-// RequestID identifies one caller's request through all its attempts.
+// RequestID identifies a caller's request across all its attempts.
 type RequestID string
 
 // AttemptID numbers the attempts of one request.
 type AttemptID uint32
 
-// Header is one header field of a request or an answer.
+// Header is one header field of a request or a response.
 type Header struct {
 	Name  string
 	Value string
 }
 
-// Submit hands one attempt of a request to a side.
+// Submit sends one attempt of a request to a side.
 type Submit struct {
 	Request RequestID
 	Attempt AttemptID
 	Profile settings.ProfileName
 	Team    settings.TeamID
-	// Chat is the digest that identifies a returning chat, zero for none.
+	// Chat is the digest that identifies a returning chat, or zero for none.
 	Chat uint64
-	// Key is the caller's idempotency key, Ticket a ticket issued by the side.
+	// Key is the caller's idempotency key, and Ticket a ticket that the side has issued.
 	Key    string
 	Ticket string
-	// Remaining is the time until the request's deadline, counted from Sent on the sender's clock.
+	// Remaining is the time from Sent, on the sender's clock, until the request's deadline.
 	Remaining time.Duration
 	Sent      clock.Instant
 	Revision  settings.Revision
@@ -38,34 +38,35 @@
 	Path      string
 	Headers   []Header
 	Body      []byte
-	// PromptTokens is the router's estimate of the prompt's length.
+	// PromptTokens is the router's estimate of the prompt length.
 	PromptTokens settings.Tokens
-	// Resume is the text that the caller already has, Offset the number of chunks that carried it.
+	// Resume is the text that the caller already has, and Offset the number of chunks that carried it.
 	Resume string
 	Offset uint32
-	// Redirected says that another side sent the request here.
+	// Redirected reports that another side was tried before or has moved the request.
 	Redirected bool
-	// LastCandidate says that every other side asked had more load.
+	// LastCandidate reports that no further side will be tried and that this one had the smallest load among the sides that
+	// refused because of their load.
 	LastCandidate bool
-	// Moves counts the sides that carried too much and moved the request away.
+	// Moves counts how often an overloaded side has moved the request to another side.
 	Moves int
-	// CacheOwner is a side that may export the chat's prefix.
+	// CacheOwner is a side whose engine may export the chat's prefix.
 	CacheOwner settings.UpstreamID
 }
 
 // Kind returns KindSubmit.
 func (*Submit) Kind() Kind { return KindSubmit }
 
-// Accept says that the side has taken the attempt.
+// Accept reports that the side has accepted the attempt.
 type Accept struct {
-	// Replayed says that the answer is the recorded one of an earlier run.
+	// Replayed reports that the response is the recorded one of an earlier run.
 	Replayed bool
 }
 
 // Kind returns KindAccept.
 func (*Accept) Kind() Kind { return KindAccept }
 
-// RefuseCode says why a side refused an attempt.
+// RefuseCode is the reason why a side refused an attempt.
 type RefuseCode string
 
 // The reasons for a refusal.
@@ -86,16 +87,16 @@
 	RefuseUpstream      RefuseCode = "upstream_unreachable"
 )
 
-// Refuse says that the attempt was not run and never will be.
+// Refuse reports that the attempt was not run and never will be.
 type Refuse struct {
 	Code RefuseCode
-	// KeyNotRun is true when the side also vouches that no run of the key or ticket was ever started.
+	// KeyNotRun reports that the side also confirms that no run of the key or ticket was ever started.
 	KeyNotRun bool
-	// Next names sides to ask instead, best first.
+	// Next lists other sides to try, best first.
 	Next []settings.UpstreamID
-	// RetryAfter is when the caller should come back.
+	// RetryAfter is the delay after which the caller should retry.
 	RetryAfter time.Duration
-	// CacheOwner is a side that may export the chat's prefix.
+	// CacheOwner is a side whose engine may export the chat's prefix.
 	CacheOwner settings.UpstreamID
 	// Load is the load of the refusing side.
 	Load float32
@@ -104,7 +105,7 @@
 // Kind returns KindRefuse.
 func (*Refuse) Kind() Kind { return KindRefuse }
 
-// Chunk is one piece of an answer.
+// Chunk is one piece of a response.
 type Chunk struct {
 	Attempt AttemptID
 	Seq     uint32
@@ -114,7 +115,7 @@
 // Kind returns KindChunk.
 func (*Chunk) Kind() Kind { return KindChunk }
 
-// Head is the status and header of the upstream's answer, sent before its chunks.
+// Head is the status and header of the upstream's response. It is sent before the chunks.
 type Head struct {
 	Status  int
 	Headers []Header
@@ -123,7 +124,7 @@
 // Kind returns KindHead.
 func (*Head) Kind() Kind { return KindHead }
 
-// Outcome is what became of a request.
+// Outcome is the result of a request or an attempt.
 type Outcome string
 
 // The outcomes.
@@ -133,13 +134,13 @@
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// End closes an answer and tells how many chunks it had.
+// End closes a response and carries its number of chunks.
 type End struct {
 	Attempt AttemptID
 	Outcome Outcome
 	// Chunks is the number of the last chunk.
 	Chunks uint32
-	// Moved names the side that should go on with the answer after Chunks.
+	// Moved names the side that should continue the response after Chunks.
 	Moved  settings.UpstreamID
 	Reason string
 }
@@ -147,25 +148,25 @@
 // Kind returns KindEnd.
 func (*End) Kind() Kind { return KindEnd }
 
-// Cancel stops an attempt on the stream that submitted it; whoever gave it wants no answer.
+// Cancel stops the attempt that was submitted on the same stream. The sender wants no response.
 type Cancel struct {
 }
 
 // Kind returns KindCancel.
 func (*Cancel) Kind() Kind { return KindCancel }
 
-// AttemptState answers Query.
+// AttemptState is the reply to AttemptQuery.
 type AttemptState struct {
-	// Started says that the attempt was handed to the upstream.
+	// Started reports that the attempt was sent to the upstream.
 	Started bool
-	// Certain is false when the side cannot tell or cannot forbid the start.
+	// Certain is false if the side does not know whether the attempt has started or cannot prevent its start.
 	Certain bool
 }
 
 // Kind returns KindState.
-func (*AttemptState) Kind() Kind { return KindState }
+func (*AttemptState) Kind() Kind { return KindAttemptState }
 
-// AttemptQuery asks whether an attempt was started, and forbids its start if it was not.
+// AttemptQuery requests whether an attempt has started, and prevents its start if it has not.
 type AttemptQuery struct {
 	Request RequestID
 	Attempt AttemptID
@@ -174,15 +175,15 @@
 }
 
 // Kind returns KindQuery.
-func (*AttemptQuery) Kind() Kind { return KindQuery }
+func (*AttemptQuery) Kind() Kind { return KindAttemptQuery }
 
-// IssueTicket asks a side for a ticket.
+// IssueTicket requests a ticket from a side.
 type IssueTicket struct {
 	Profile settings.ProfileName
 }
 
 // Kind returns KindIssue.
-func (*IssueTicket) Kind() Kind { return KindIssue }
+func (*IssueTicket) Kind() Kind { return KindIssueTicket }
 
 // TicketIssued carries a ticket.
 type TicketIssued struct {
@@ -191,13 +192,13 @@
 }
 
 // Kind returns KindIssued.
-func (*TicketIssued) Kind() Kind { return KindIssued }
+func (*TicketIssued) Kind() Kind { return KindTicketIssued }
 
-// ChatPlaced tells a chat's home which side served the chat.
+// ChatPlaced reports to a chat's primary which side served the chat.
 type ChatPlaced struct {
 	Chat uint64
 	Side settings.UpstreamID
 }
 
 // Kind returns KindPlaced.
-func (*ChatPlaced) Kind() Kind { return KindPlaced }
+func (*ChatPlaced) Kind() Kind { return KindChatPlaced }
--- a/core/peer/router.go
+++ b/core/peer/router.go
@@ -10,35 +10,35 @@
 	"rattantrack.dev/core/unresponsive"
 )
 
-// RouterState is what one router tells another, and the answer to it.
+// RouterState is the state that one router sends to another, and the reply to it.
 type RouterState struct {
 	Router inflight.RouterID
-	// Address is where the router is reached, Incarnation its life.
+	// Address is where other processes reach the router. Incarnation identifies the run of its process.
 	Address     string
 	Incarnation Incarnation
-	// Cores is the processor that the VM gives the router, in cores; 0 where it is not known.
+	// Cores is the number of processor cores that the VM gives the router, or 0 if it is not known.
 	Cores float64
-	// Open is the number of requests that it has open at each upstream.
+	// Open is the number of requests that the router has open at each upstream.
 	Open inflight.Counts
-	// Responsiveness is what the router hears of upstreams, but for those that answer the requests in Open.
+	// Responsiveness holds the router's observations of upstreams, except those that respond to the requests in Open.
 	Responsiveness unresponsive.Observations
-	// HasCacheEntries says that it knows which prompts are cached where, from its own time or from the engines.
+	// HasCacheEntries reports that the router's cache warm-up is complete, so that it can pass on its cache entries.
 	HasCacheEntries bool
-	// WantsCacheEntries asks a router that knows them for all cached prompts.
+	// WantsCacheEntries requests all cache entries from a router that has them.
 	WantsCacheEntries bool
-	// CacheQueried are the upstreams whose cached prompts the router has just asked for.
+	// CacheQueried lists the upstreams that the router has just queried for their cached prompts.
 	CacheQueried []settings.UpstreamID
-	// CacheEntries are the prompts that upstreams have read through it since it told the other router last.
+	// CacheEntries are the prompts that upstreams have processed through this router since its last state to the receiver.
 	CacheEntries []affinity.Batch
-	// Members are the changes of instances that it has heard of since then.
+	// Members are the changes of instances that the router has received since then.
 	Members []members.Change
-	// MembersComplete says that Members holds every instance that it knows.
+	// MembersComplete reports that the router had a complete list of instances when it filled Members.
 	MembersComplete bool
-	// DirectoryAge is how long ago the router itself has read the platform's directory.
+	// DirectoryAge is the time since the router itself last read the platform's directory.
 	DirectoryAge time.Duration
-	// DirectoryFailing says that the router cannot read the directory itself.
+	// DirectoryFailing reports that the router cannot read the directory itself.
 	DirectoryFailing bool
-	// Routers are the addresses of the routers that it exchanges with.
+	// Routers are the addresses of the routers that this one exchanges states with.
 	Routers []string
 }
 
--- a/core/peer/stream.go
+++ b/core/peer/stream.go
@@ -9,13 +9,13 @@
 
 // Flow control of one stream.
 const (
-	// chunkWindow is the number of chunks that may be on their way unread.
+	// chunkWindow is the number of chunks that may be sent before the receiver has read them.
 	chunkWindow = 64
-	// inboxLength leaves room for the messages around the chunks.
+	// inboxLength leaves room for the messages other than chunks.
 	inboxLength = chunkWindow + 8
 )
 
-// ResetError reports a stream that the other end gave up.
+// ResetError reports a stream that the other end has reset.
 type ResetError struct {
 	Reason string
 }
@@ -28,18 +28,20 @@
 	id     StreamID
 	inbox  chan Message
 	credit chan struct{}
+	// window is the number of chunks that may still be sent. credit wakes a sender that waits for it to grow.
 	window atomic.Int64
-	unread int
-	once   sync.Once
+	// consumed is the number of chunks that Receive has returned since the last Window was sent.
+	consumed int
+	once     sync.Once
 }
 
-// Pending returns the number of messages that have arrived and were not received yet.
+// Pending returns the number of messages that have arrived but were not returned by Receive yet.
 func (s *Stream) Pending() int { return len(s.inbox) }
 
 // Link returns the link that carries the stream.
 func (s *Stream) Link() *Link { return s.link }
 
-// Send sends a message; chunks wait until the receiver has room for them.
+// Send sends a message. Chunks wait until the receiver's window has room.
 func (s *Stream) Send(ctx context.Context, m Message) error {
 	if _, ok := m.(*Chunk); ok {
 		if err := s.takeCredit(ctx); err != nil {
@@ -63,7 +65,7 @@
 	return nil
 }
 
-// deliver hands a received message to whoever receives; it never blocks the link.
+// deliver queues a message for Receive. It never blocks the link.
 func (s *Stream) deliver(m Message) {
 	if w, ok := m.(*Window); ok {
 		s.window.Add(int64(w.N))
@@ -76,21 +78,21 @@
 	select {
 	case s.inbox <- m:
 	default:
-		// The other end ignored the window: it loses this stream and harms no other.
+		// The other end has ignored the window. Only this stream is dropped, so that no other stream is affected.
 		s.Close()
 	}
 }
 
-// Receive returns the next message; it fails when the link or ctx ends or the other end resets the stream.
+// Receive returns the next message. It fails when the link or ctx ends or the other end resets the stream.
 func (s *Stream) Receive(ctx context.Context) (Message, error) {
 	select {
 	case m := <-s.inbox:
-		return s.taken(ctx, m)
+		return s.finishReceive(ctx, m)
 	default:
 	}
 	select {
 	case m := <-s.inbox:
-		return s.taken(ctx, m)
+		return s.finishReceive(ctx, m)
 	case <-s.link.closed:
 		return s.drainInbox(ctx)
 	case <-ctx.Done():
@@ -98,44 +100,45 @@
 	}
 }
 
-// drainInbox returns what had arrived before the link ended.
+// drainInbox returns the next message that arrived before the link ended, or the link's error.
 func (s *Stream) drainInbox(ctx context.Context) (Message, error) {
 	select {
 	case m := <-s.inbox:
-		return s.taken(ctx, m)
+		return s.finishReceive(ctx, m)
 	default:
 		return nil, s.link.Err()
 	}
 }
 
-func (s *Stream) taken(ctx context.Context, m Message) (Message, error) {
+// finishReceive turns a Reset into an error and sends a Window when enough chunks were received.
+func (s *Stream) finishReceive(ctx context.Context, m Message) (Message, error) {
 	switch v := m.(type) {
 	case *Reset:
 		return nil, &ResetError{Reason: v.Reason}
 	case *Chunk:
-		s.unread++
-		if s.unread < chunkWindow/2 {
+		s.consumed++
+		if s.consumed < chunkWindow/2 {
 			return m, nil
 		}
-		n := s.unread
-		s.unread = 0
-		// A failed send shows as the link's end at the next Receive.
+		n := s.consumed
+		s.consumed = 0
+		// The error is ignored, because a later Receive fails if the link has ended.
 		_ = s.link.send(ctx, s.id, &Window{N: n})
 	}
 	return m, nil
 }
 
-// Close forgets the stream; late messages for it are dropped.
+// Close removes the stream from its link. Late messages for it are dropped.
 func (s *Stream) Close() {
 	s.once.Do(func() {
 		s.link.mu.Lock()
 		delete(s.link.streams, s.id)
 		s.link.mu.Unlock()
-		s.link.open.Add(-1)
+		s.link.openStreams.Add(-1)
 	})
 }
 
-// Open begins a stream with its first message.
+// Open opens a stream with its first message.
 func (l *Link) Open(ctx context.Context, m Message) (*Stream, error) {
 	l.mu.Lock()
 	id := l.nextID
@@ -149,28 +152,28 @@
 	return s, nil
 }
 
-// Ask opens a stream with a question and waits for one answer.
-func Ask[T Message](ctx context.Context, l *Link, question Message, limit time.Duration) (T, error) {
-	var none T
+// Ask opens a stream with a request message and waits up to limit for one reply of type T.
+func Ask[T Message](ctx context.Context, l *Link, request Message, limit time.Duration) (T, error) {
+	var zero T
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	s, err := l.Open(ctx, question)
+	s, err := l.Open(ctx, request)
 	if err != nil {
-		return none, err
+		return zero, err
 	}
 	defer s.Close()
 	m, err := s.Receive(ctx)
 	if err != nil {
-		return none, err
+		return zero, err
 	}
-	answer, ok := m.(T)
+	reply, ok := m.(T)
 	if !ok {
-		return none, &FrameError{Reason: "unexpected answer"}
+		return zero, &FrameError{Reason: "unexpected reply"}
 	}
-	return answer, nil
+	return reply, nil
 }
 
-// Notify opens a stream with a message that wants no answer.
+// Notify sends a message on a stream of its own and expects no reply.
 func Notify(ctx context.Context, l *Link, m Message) error {
 	s, err := l.Open(ctx, m)
 	if err != nil {
--- a/core/peer/tls_test.go
+++ b/core/peer/tls_test.go
@@ -41,7 +41,7 @@
 	return &authority{cert: cert, key: key, pem: pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})}
 }
 
-// identity writes the files of a certificate that issuer signed and trusted vouches for.
+// identity returns the identity of a process whose certificate is signed by issuer and that trusts the authority trusted.
 func identity(t *testing.T, issuer, trusted *authority) *Identity {
 	t.Helper()
 	c := qt.New(t)
@@ -64,22 +64,22 @@
 }
 
 func TestOnlyPeersOfTheAuthorityAreServed(t *testing.T) {
-	ours, strangers := newAuthority(t), newAuthority(t)
+	ours, other := newAuthority(t), newAuthority(t)
 	tests := map[string]struct {
 		client *Identity
 		want   bool
 	}{
-		"peer of the authority":           {identity(t, ours, ours), true},
-		"peer of another authority":       {identity(t, strangers, ours), false},
-		"peer that trusts no one of ours": {identity(t, ours, strangers), false},
-		"peer without a certificate":      {nil, false},
+		"peer of the authority":              {identity(t, ours, ours), true},
+		"peer of another authority":          {identity(t, other, ours), false},
+		"peer that trusts another authority": {identity(t, ours, other), false},
+		"peer without a certificate":         {nil, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			c.Assert(err, qt.IsNil)
-			server := endpoint(t, serveFunc(counting), loopback)
+			server := newEndpoint(t, serveFunc(serveChunks), loopback)
 			server.Identity = identity(t, ours, ours)
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan struct{})
@@ -92,7 +92,7 @@
 				server.Close()
 				<-done
 			}()
-			dialler := endpoint(t, nil, loopback)
+			dialler := newEndpoint(t, nil, loopback)
 			dialler.Identity = test.client
 			l, err := dialler.Dial(ctx, ln.Addr().String())
 			if err == nil {
