--- a/core/settings/fleet_test.go
+++ b/core/settings/declarations_test.go
@@ -13,55 +13,56 @@
 func drawChange(t *rapid.T) Document {
 	name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
 	share := rapid.IntRange(-1, 3).Draw(t, "share")
-	d := Document{Deleted: rapid.Bool().Draw(t, "deleted")}
+	change := Document{Deleted: rapid.Bool().Draw(t, "deleted")}
 	switch rapid.IntRange(0, 3).Draw(t, "kind") {
 	case 0:
-		d.Key, d.Value = DocumentKey("teams/"+name), fmt.Sprintf("share: %d", share)
+		change.Key, change.Value = DocumentKey("teams/"+name), fmt.Sprintf("share: %d", share)
 	case 1:
-		d.Key, d.Value = DocumentKey("services/"+name), fmt.Sprintf("{kind: plain, max_running: %d}", share)
+		change.Key, change.Value = DocumentKey("services/"+name), fmt.Sprintf("{kind: plain, max_running: %d}", share)
 	case 2:
-		d.Key, d.Value = DocumentKey("profiles/"+name), fmt.Sprintf("{service: %s, idempotent: true, retries: %d}", rapid.SampledFrom([]string{"a", "b"}).Draw(t, "service"), share)
+		change.Key, change.Value = DocumentKey("profiles/"+name), fmt.Sprintf("{service: %s, idempotent: true, retries: %d}", rapid.SampledFrom([]string{"a", "b"}).Draw(t, "service"), share)
 	case 3:
-		d.Key, d.Value = DocumentKey("upstreams/"+name), fmt.Sprintf("{service: a, data_centre: kano, side: '127.0.0.1:%d'}", 7400+share)
+		change.Key, change.Value = DocumentKey("upstreams/"+name), fmt.Sprintf("{service: a, data_centre: kano, side: '127.0.0.1:%d'}", 7400+share)
 	}
-	return d
+	return change
 }
 
-// TestChangeByChangeAgreesWithTheWhole compares applying changes one by one with reading all documents anew.
-func TestChangeByChangeAgreesWithTheWhole(t *testing.T) {
+// TestChangesAgreeWithDecodingAllDocuments compares the result of applying changes one by one with that of decoding all
+// documents at once.
+func TestChangesAgreeWithDecodingAllDocuments(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		fleet := newFleet()
+		declarations := newDeclarations()
 		docs := make(map[DocumentKey]Document)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
-			d := drawChange(t)
-			next, err := fleet.With([]Document{d})
+			change := drawChange(t)
+			next, err := declarations.With([]Document{change})
 			all := make(map[DocumentKey]Document)
-			for key, have := range docs {
-				all[key] = have
+			for key, doc := range docs {
+				all[key] = doc
 			}
-			all[d.Key] = d
+			all[change.Key] = change
 			var list []Document
-			for _, have := range all {
-				if !have.Deleted {
-					list = append(list, have)
+			for _, doc := range all {
+				if !doc.Deleted {
+					list = append(list, doc)
 				}
 			}
-			whole, wholeErr := FromDocuments(list)
-			if (err == nil) != (wholeErr == nil) {
-				t.Fatalf("after %v: change says %v, whole says %v", d, err, wholeErr)
+			decoded, decodeErr := FromDocuments(list)
+			if (err == nil) != (decodeErr == nil) {
+				t.Fatalf("after %v: applying the change returned %v, decoding all documents returned %v", change, err, decodeErr)
 			}
 			if err != nil {
 				continue
 			}
-			if fmt.Sprint(next) != fmt.Sprint(whole) {
-				t.Fatalf("after %v: change leads to %v, whole is %v", d, next, whole)
+			if fmt.Sprint(next) != fmt.Sprint(decoded) {
+				t.Fatalf("after %v: applying the change gave %v, decoding all documents gave %v", change, next, decoded)
 			}
-			fleet, docs = next, all
+			declarations, docs = next, all
 		}
 	})
 }
 
-func TestTwoUpstreamsBehindOneAddressAreRefused(t *testing.T) {
+func TestUpstreamsWithTheSameAddressAreRejected(t *testing.T) {
 	c := qt.New(t)
 	_, err := FromDocuments([]Document{
 		{Key: "services/a", Value: "{kind: plain}"},
@@ -77,14 +78,15 @@
 	f.Add("upstreams/a", "{side: x")
 	f.Add("nothing", "")
 	f.Fuzz(func(t *testing.T, key, value string) {
-		fleet, err := FromDocuments([]Document{{Key: DocumentKey(key), Value: value}})
-		if err == nil && len(fleet.Validate()) > 0 {
+		declarations, err := FromDocuments([]Document{{Key: DocumentKey(key), Value: value}})
+		if err == nil && len(declarations.Validate()) > 0 {
 			t.Fatal("accepted declarations have faults")
 		}
 	})
 }
 
-// TestChangesLeadToTheNextVersion compares the change between two versions, applied, with the second one.
+// TestChangesLeadToTheNextVersion applies the changes between two versions to the first one and compares the result with
+// the second one.
 func TestChangesLeadToTheNextVersion(t *testing.T) {
 	c := qt.New(t)
 	rank := 3
@@ -101,7 +103,7 @@
 	first.Default()
 	docs, err := Changes(nil, first, 5)
 	c.Assert(err, qt.IsNil)
-	got, err := newFleet().With(docs)
+	got, err := newDeclarations().With(docs)
 	c.Assert(err, qt.IsNil)
 	c.Assert(got.Routes, qt.DeepEquals, first.Routes)
 	c.Assert(got.Teams, qt.DeepEquals, first.Teams)
--- a/core/settings/defaults.go
+++ b/core/settings/defaults.go
@@ -17,22 +17,22 @@
 	DefaultMaxOpen        = 1024
 )
 
-// Default fills every declaration that the operators left out.
-func (f *Declarations) Default() {
-	for name, p := range f.Profiles {
-		f.Profiles[name] = defaultProfile(p)
+// Default sets every field that the operators left out to its default.
+func (d *Declarations) Default() {
+	for name, p := range d.Profiles {
+		d.Profiles[name] = defaultProfile(p)
 	}
-	for name, s := range f.Services {
-		f.Services[name] = defaultService(s)
+	for name, s := range d.Services {
+		d.Services[name] = defaultService(s)
 	}
-	for id, t := range f.Teams {
-		f.Teams[id] = defaultTeam(t)
+	for id, t := range d.Teams {
+		d.Teams[id] = defaultTeam(t)
 	}
-	for name, r := range f.Routes {
-		f.Routes[name] = defaultRoute(r)
+	for name, r := range d.Routes {
+		d.Routes[name] = defaultRoute(r)
 	}
-	for name, l := range f.Limits {
-		f.Limits[name] = defaultClientLimits(l)
+	for name, l := range d.Limits {
+		d.Limits[name] = defaultClientLimits(l)
 	}
 }
 
--- a/core/settings/document.go
+++ b/core/settings/document.go
@@ -12,10 +12,10 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Revision numbers the versions of the declarations, as the configuration service counts them.
+// Revision numbers the versions of the declarations as counted by the configuration service.
 type Revision uint64
 
-// DocumentKey names a declaration as kind/name, such as profiles/answer.
+// DocumentKey identifies a declaration as kind/name, such as profiles/answer.
 type DocumentKey string
 
 // Document is one declaration as the configuration service publishes it.
@@ -26,7 +26,7 @@
 	Deleted  bool        `json:"deleted"`
 }
 
-// The kinds of declaration, which are also the names of the files that hold them.
+// The kinds of declaration, which are also the base names of their files.
 const (
 	kindProfiles  = "profiles"
 	kindServices  = "services"
@@ -36,7 +36,7 @@
 	kindLimits    = "limits"
 )
 
-// UpstreamOf returns the upstream that a document declares, if it declares one.
+// UpstreamOf returns the upstream that a document declares, and whether it declares one.
 func UpstreamOf(key DocumentKey) (UpstreamID, bool) {
 	name, ok := strings.CutPrefix(string(key), kindUpstreams+"/")
 	return UpstreamID(name), ok
@@ -48,11 +48,11 @@
 // IsService reports whether a document declares a service.
 func IsService(key DocumentKey) bool { return strings.HasPrefix(string(key), kindServices+"/") }
 
-// Documents splits a set of declarations into its documents, sorted by key, in YAML for people to read.
-func (f *Declarations) Documents() ([]Document, error) { return f.documents(yaml.Marshal) }
+// Documents returns the declarations as YAML documents for people to read, sorted by key.
+func (d *Declarations) Documents() ([]Document, error) { return d.documents(yaml.Marshal) }
 
-// documents splits a set of declarations into its documents, sorted by key.
-func (f *Declarations) documents(encode func(any) ([]byte, error)) ([]Document, error) {
+// documents returns the declarations as encoded documents, sorted by key.
+func (d *Declarations) documents(encode func(any) ([]byte, error)) ([]Document, error) {
 	var docs []Document
 	var err error
 	add := func(kind, name string, value any) {
@@ -60,41 +60,41 @@
 		err = errors.CombineErrors(err, marshalErr)
 		docs = append(docs, Document{Key: DocumentKey(kind + "/" + name), Value: string(text)})
 	}
-	for name, p := range f.Profiles {
+	for name, p := range d.Profiles {
 		add(kindProfiles, string(name), p)
 	}
-	for name, s := range f.Services {
+	for name, s := range d.Services {
 		add(kindServices, string(name), s)
 	}
-	for id, u := range f.Upstreams {
+	for id, u := range d.Upstreams {
 		add(kindUpstreams, string(id), u)
 	}
-	for id, t := range f.Teams {
+	for id, t := range d.Teams {
 		add(kindTeams, string(id), t)
 	}
-	for name, r := range f.Routes {
+	for name, r := range d.Routes {
 		add(kindRoutes, string(name), r)
 	}
-	for name, l := range f.Limits {
+	for name, l := range d.Limits {
 		add(kindLimits, string(name), l)
 	}
 	sort.Slice(docs, func(i, j int) bool { return docs[i].Key < docs[j].Key })
 	return docs, err
 }
 
-// FromDocuments assembles, defaults and validates a set of declarations.
+// FromDocuments decodes a set of declarations, applies the defaults and validates the result.
 func FromDocuments(docs []Document) (*Declarations, error) {
-	return newFleet().With(docs)
+	return newDeclarations().With(docs)
 }
 
-// With returns the declarations after a change, and validates what the change can have touched. The declarations that
-// did not change are taken over as they are, so that the work grows with the change and hardly with the fleet.
-func (f *Declarations) With(docs []Document) (*Declarations, error) {
-	next := f.clone()
+// With returns the declarations after a change and validates what the change can affect. Unchanged declarations are copied,
+// so that the work grows with the change and hardly with the fleet.
+func (d *Declarations) With(docs []Document) (*Declarations, error) {
+	next := d.clone()
 	var problems Problems
-	for _, d := range docs {
-		if err := next.apply(d); err != nil {
-			problems = append(problems, Problem{File: string(d.Key), Found: err.Error(), Allowed: "a valid declaration"})
+	for _, doc := range docs {
+		if err := next.apply(doc); err != nil {
+			problems = append(problems, Problem{File: string(doc.Key), Found: err.Error(), Allowed: "a valid declaration"})
 		}
 	}
 	problems = append(problems, next.validateChange(docs)...)
@@ -104,18 +104,18 @@
 	return next, nil
 }
 
-func (f *Declarations) clone() *Declarations {
-	next := newFleet()
-	maps.Copy(next.Profiles, f.Profiles)
-	maps.Copy(next.Services, f.Services)
-	maps.Copy(next.Upstreams, f.Upstreams)
-	maps.Copy(next.Teams, f.Teams)
-	maps.Copy(next.Routes, f.Routes)
-	maps.Copy(next.Limits, f.Limits)
+func (d *Declarations) clone() *Declarations {
+	next := newDeclarations()
+	maps.Copy(next.Profiles, d.Profiles)
+	maps.Copy(next.Services, d.Services)
+	maps.Copy(next.Upstreams, d.Upstreams)
+	maps.Copy(next.Teams, d.Teams)
+	maps.Copy(next.Routes, d.Routes)
+	maps.Copy(next.Limits, d.Limits)
 	return next
 }
 
-func newFleet() *Declarations {
+func newDeclarations() *Declarations {
 	return &Declarations{
 		Profiles:  make(map[ProfileName]Profile),
 		Services:  make(map[ServiceName]Service),
@@ -127,45 +127,45 @@
 }
 
 // apply adds, replaces or removes one declaration.
-func (f *Declarations) apply(d Document) error {
-	kind, name, ok := strings.Cut(string(d.Key), "/")
+func (d *Declarations) apply(doc Document) error {
+	kind, name, ok := strings.Cut(string(doc.Key), "/")
 	if !ok || name == "" {
-		return errors.Newf("key %q is not kind/name", string(d.Key))
+		return errors.Newf("key %q is not kind/name", string(doc.Key))
 	}
 	switch kind {
 	case kindProfiles:
-		return applyTo(f.Profiles, ProfileName(name), d, defaultProfile)
+		return applyTo(d.Profiles, ProfileName(name), doc, defaultProfile)
 	case kindServices:
-		return applyTo(f.Services, ServiceName(name), d, defaultService)
+		return applyTo(d.Services, ServiceName(name), doc, defaultService)
 	case kindUpstreams:
-		return applyTo(f.Upstreams, UpstreamID(name), d, func(u Upstream) Upstream { return u })
+		return applyTo(d.Upstreams, UpstreamID(name), doc, func(u Upstream) Upstream { return u })
 	case kindTeams:
-		return applyTo(f.Teams, TeamID(name), d, defaultTeam)
+		return applyTo(d.Teams, TeamID(name), doc, defaultTeam)
 	case kindRoutes:
-		return applyTo(f.Routes, RouteName(name), d, defaultRoute)
+		return applyTo(d.Routes, RouteName(name), doc, defaultRoute)
 	case kindLimits:
-		return applyTo(f.Limits, LimitsName(name), d, defaultClientLimits)
+		return applyTo(d.Limits, LimitsName(name), doc, defaultClientLimits)
 	}
 	return errors.Newf("unknown kind of declaration %q", kind)
 }
 
-func applyTo[K comparable, V any](m map[K]V, key K, d Document, withDefaults func(V) V) error {
-	if d.Deleted {
+func applyTo[K comparable, V any](m map[K]V, key K, doc Document, withDefaults func(V) V) error {
+	if doc.Deleted {
 		delete(m, key)
 		return nil
 	}
 	var v V
-	if err := decodeDocument(d.Value, &v); err != nil {
+	if err := decodeDocument(doc.Value, &v); err != nil {
 		return err
 	}
 	m[key] = withDefaults(v)
 	return nil
 }
 
-// jsonStart tells JSON from the YAML that people write.
+// jsonStart distinguishes generated JSON from the YAML that people write.
 const jsonStart = `{"`
 
-// decodeDocument decodes one declaration in JSON or YAML and refuses unknown fields.
+// decodeDocument decodes one declaration in JSON or YAML and rejects unknown fields.
 func decodeDocument(text string, v any) error {
 	if !strings.HasPrefix(text, jsonStart) {
 		return decodeStrict([]byte(text), v)
@@ -175,18 +175,18 @@
 	return dec.Decode(v)
 }
 
-// decodeStrict decodes YAML and refuses unknown fields.
+// decodeStrict decodes YAML and rejects unknown fields.
 func decodeStrict(text []byte, v any) error {
 	dec := yaml.NewDecoder(bytes.NewReader(text))
 	dec.KnownFields(true)
 	return dec.Decode(v)
 }
 
-// Changes returns the documents that lead from one set of declarations to the next, stamped with the revision. They are
-// in JSON, which is read many times faster than YAML when a router starts.
+// Changes returns the documents that change one set of declarations into the next, with the given revision. They are JSON,
+// which a starting router reads many times faster than YAML.
 func Changes(from, to *Declarations, r Revision) ([]Document, error) {
 	if from == nil {
-		from = newFleet()
+		from = newDeclarations()
 	}
 	changed, removed := diff(from, to)
 	docs, err := changed.documents(json.Marshal)
@@ -202,9 +202,9 @@
 	return docs, nil
 }
 
-// diff returns the declarations that are new or different in to, and the keys of those that it lacks.
+// diff returns the declarations that are new or different in to, and the keys of those that are missing there.
 func diff(from, to *Declarations) (*Declarations, []DocumentKey) {
-	changed := newFleet()
+	changed := newDeclarations()
 	var removed []DocumentKey
 	removed = diffKind(removed, kindProfiles, from.Profiles, to.Profiles, changed.Profiles)
 	removed = diffKind(removed, kindServices, from.Services, to.Services, changed.Services)
@@ -217,7 +217,7 @@
 
 func diffKind[K ~string, V any](removed []DocumentKey, kind string, from, to, changed map[K]V) []DocumentKey {
 	for name, v := range to {
-		if have, ok := from[name]; !ok || !reflect.DeepEqual(have, v) {
+		if old, ok := from[name]; !ok || !reflect.DeepEqual(old, v) {
 			changed[name] = v
 		}
 	}
--- a/core/settings/ids.go
+++ b/core/settings/ids.go
@@ -1,9 +1,9 @@
 package settings
 
-// ProfileName names a profile, the way one kind of request is treated.
+// ProfileName names a profile.
 type ProfileName string
 
-// ServiceName names a service: a model or a plain service with its upstreams.
+// ServiceName names a model or a plain service.
 type ServiceName string
 
 // UpstreamID names one upstream and the side process beside it.
@@ -15,5 +15,5 @@
 // DataCentre names a data centre.
 type DataCentre string
 
-// Tokens counts model tokens, the unit of work.
+// Tokens is a number of model tokens, the unit of work.
 type Tokens float64
--- a/core/settings/load.go
+++ b/core/settings/load.go
@@ -15,23 +15,23 @@
 
 var declarationFiles = []string{kindProfiles, kindServices, kindUpstreams, kindTeams, kindRoutes, kindLimits}
 
-// optionalFiles hold declarations that only some fleets have.
+// optionalFiles are the files that may be missing, because only some fleets have such declarations.
 var optionalFiles = []string{kindRoutes, kindLimits}
 
-// LoadDeclarations reads the declarations below dir and returns every fault at once as Problems.
+// LoadDeclarations reads the declaration files in dir. It returns all faults together as Problems.
 func LoadDeclarations(dir string) (*Declarations, error) {
-	f := newFleet()
+	d := newDeclarations()
 	var problems Problems
 	lines := make(map[string]int)
 	for _, kind := range declarationFiles {
-		found, err := f.loadFile(dir, kind, lines)
+		found, err := d.loadFile(dir, kind, lines)
 		if err != nil {
 			return nil, err
 		}
 		problems = append(problems, found...)
 	}
-	f.Default()
-	for _, p := range f.Validate() {
+	d.Default()
+	for _, p := range d.Validate() {
 		p.File = filepath.Join(dir, p.File)
 		p.Line = nearestLine(lines, p.Field)
 		problems = append(problems, p)
@@ -39,10 +39,10 @@
 	if len(problems) > 0 {
 		return nil, problems
 	}
-	return f, nil
+	return d, nil
 }
 
-func (f *Declarations) loadFile(dir, kind string, lines map[string]int) (Problems, error) {
+func (d *Declarations) loadFile(dir, kind string, lines map[string]int) (Problems, error) {
 	path := filepath.Join(dir, kind+".yaml")
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -59,26 +59,26 @@
 		return decodeProblems(path, err), nil
 	}
 	indexLines(&root, kind, lines)
-	return decodeProblems(path, decodeStrict(text, f.section(kind))), nil
+	return decodeProblems(path, decodeStrict(text, d.section(kind))), nil
 }
 
-func (f *Declarations) section(kind string) any {
+func (d *Declarations) section(kind string) any {
 	switch kind {
 	case kindProfiles:
-		return &f.Profiles
+		return &d.Profiles
 	case kindServices:
-		return &f.Services
+		return &d.Services
 	case kindUpstreams:
-		return &f.Upstreams
+		return &d.Upstreams
 	case kindRoutes:
-		return &f.Routes
+		return &d.Routes
 	case kindLimits:
-		return &f.Limits
+		return &d.Limits
 	}
-	return &f.Teams
+	return &d.Teams
 }
 
-// indexLines notes the line of every field below a mapping node, by dotted path.
+// indexLines records the line of every field below a mapping node, by dotted path.
 func indexLines(n *yaml.Node, path string, lines map[string]int) {
 	if n.Kind == yaml.DocumentNode && len(n.Content) > 0 {
 		indexLines(n.Content[0], path, lines)
@@ -94,7 +94,7 @@
 	}
 }
 
-// nearestLine returns the line of a field, or of the declaration around it when the field was left out.
+// nearestLine returns the line of a field, or of the closest enclosing field if the field was left out.
 func nearestLine(lines map[string]int, field string) int {
 	for field != "" {
 		if line, ok := lines[field]; ok {
@@ -114,24 +114,24 @@
 	unknownPattern = regexp.MustCompile(`field (\S+) not found in type`)
 )
 
-// decodeProblems turns the decoder's error into one problem a fault.
+// decodeProblems converts a decoder error into one problem per fault.
 func decodeProblems(path string, err error) Problems {
 	if err == nil || errors.Is(err, io.EOF) {
 		return nil
 	}
-	var many *yaml.TypeError
-	if !errors.As(err, &many) {
+	var typeError *yaml.TypeError
+	if !errors.As(err, &typeError) {
 		return Problems{decodeProblem(path, err.Error())}
 	}
-	problems := make(Problems, 0, len(many.Errors))
-	for _, text := range many.Errors {
+	problems := make(Problems, 0, len(typeError.Errors))
+	for _, text := range typeError.Errors {
 		problems = append(problems, decodeProblem(path, text))
 	}
 	return problems
 }
 
 func decodeProblem(path, text string) Problem {
-	p := Problem{File: path, Found: text, Allowed: "valid YAML of the documented shape"}
+	p := Problem{File: path, Found: text, Allowed: "valid YAML with the documented fields"}
 	if m := linePattern.FindStringSubmatch(text); m != nil {
 		p.Line, _ = strconv.Atoi(m[1])
 		p.Found = m[2]
@@ -144,7 +144,7 @@
 	return p
 }
 
-// LoadProcess reads the settings file of one process into v, refusing unknown fields.
+// LoadProcess reads the settings file of one process into v and rejects unknown fields.
 func LoadProcess(path string, v any) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/core/settings/problem.go
+++ b/core/settings/problem.go
@@ -15,23 +15,23 @@
 }
 
 func (p Problem) String() string {
-	place := p.File
+	location := p.File
 	if p.Line > 0 {
-		place = fmt.Sprintf("%s:%d", p.File, p.Line)
+		location = fmt.Sprintf("%s:%d", p.File, p.Line)
 	}
 	if p.Field != "" {
-		place += ": " + p.Field
+		location += ": " + p.Field
 	}
-	return fmt.Sprintf("%s: found %s, allowed: %s", place, p.Found, p.Allowed)
+	return fmt.Sprintf("%s: found %s, allowed: %s", location, p.Found, p.Allowed)
 }
 
-// Problems is every fault found in a set of settings.
+// Problems is the list of all faults in a set of settings.
 type Problems []Problem
 
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
-	for i, one := range p {
-		lines[i] = one.String()
+	for i, problem := range p {
+		lines[i] = problem.String()
 	}
 	return strings.Join(lines, "\n")
 }
--- a/core/settings/process.go
+++ b/core/settings/process.go
@@ -11,50 +11,51 @@
 type Router struct {
 	ID         string     `yaml:"id"`
 	DataCentre DataCentre `yaml:"data_centre"`
-	// Caller is the address that callers reach, Operator the one for operators, Peer the one for other processes.
+	// Caller is the listen address for callers, Operator the one for operators, and Peer the one for other processes.
 	Caller   string `yaml:"caller"`
 	Operator string `yaml:"operator"`
 	Peer     string `yaml:"peer"`
-	// Advertise is the address that other processes dial; it defaults to Peer.
+	// Advertise is the address that other processes dial. It defaults to Peer.
 	Advertise string `yaml:"advertise"`
 	// Configuration and VMList are the base URLs of the platform's services.
 	Configuration string   `yaml:"configuration"`
 	VMList        string   `yaml:"vm_list"`
 	Peers         []string `yaml:"peers"`
 	Allow         []string `yaml:"allow"`
-	// NoticeTime is how long a stopping router still takes calls, so that the balancer can see it leave.
+	// NoticeTime is how long a stopping router still accepts calls, so that the load balancer can notice that it stops.
 	NoticeTime time.Duration `yaml:"notice_time"`
-	DrainTime  time.Duration `yaml:"drain_time"`
-	// GraceTime is how long after the signal to stop the platform kills the process; where it is set, it bounds NoticeTime
-	// and DrainTime is what is left of it.
+	// DrainTime is how long a stopping router then waits for open requests.
+	DrainTime time.Duration `yaml:"drain_time"`
+	// GraceTime is the time from the stop signal until the platform kills the process. If it is set, it limits NoticeTime,
+	// and the remainder is the default of DrainTime.
 	GraceTime time.Duration `yaml:"grace_time"`
 	Limits    Limits        `yaml:"limits"`
-	// PeerTLS is used between processes, CallerTLS towards callers (who need no certificate), where files are named.
+	// PeerTLS is used between processes and CallerTLS for callers, who need no certificate. Each is used if it names files.
 	PeerTLS   TLS `yaml:"peer_tls"`
 	CallerTLS TLS `yaml:"caller_tls"`
-	// Direct serves clients that are routed by host and path to upstreams without a side, where it is set.
+	// Direct, if set, serves clients that are routed by host and path to upstreams without a side.
 	Direct *Direct `yaml:"direct"`
 }
 
-// Direct is the settings of a router that reaches the upstreams itself.
+// Direct is the settings of a router that sends requests to the upstreams itself.
 type Direct struct {
 	// Directory is the base URL of the platform's directory of declarations and instances.
 	Directory string `yaml:"directory"`
-	// Readiness is the address at which the balancer asks whether the router takes connections.
+	// Readiness is the address at which the load balancer checks whether the router accepts connections.
 	Readiness string `yaml:"readiness"`
-	// FirstStart says that the whole system starts for the first time, so that no engine has cached anything.
+	// FirstStart reports that the whole system starts for the first time, so that no engine has cached anything.
 	FirstStart bool `yaml:"first_start"`
-	// MemoryMB is the memory of the VM for this process, 0 for no bound.
+	// MemoryMB is the memory of the VM for this process in MB, 0 for no limit.
 	MemoryMB int64 `yaml:"memory_mb"`
-	// Cores is the processor that the VM gives this process, in cores, 0 where it is not known.
+	// Cores is the number of processor cores that the VM gives this process, 0 if it is not known.
 	Cores float64 `yaml:"cores"`
-	// RetryBudget bounds the repeats of all routers together.
+	// RetryBudget limits the retries of all routers together.
 	RetryBudget RetryBudget `yaml:"repeats"`
 }
 
-// RetryBudget bounds how many requests the routers send once more, for each service.
+// RetryBudget limits how many requests all routers together send again, per service.
 type RetryBudget struct {
-	// Ratio is the number of repeats for each request, Slack the number besides, both within Window.
+	// Ratio is the number of retries per request, and Slack the number of additional retries, both within Window.
 	Ratio  float64       `yaml:"ratio"`
 	Slack  float64       `yaml:"slack"`
 	Window time.Duration `yaml:"window"`
@@ -70,7 +71,7 @@
 // Used reports whether any file is named.
 func (t TLS) Used() bool { return t != TLS{} }
 
-// Limits bounds what one router takes from outside.
+// Limits bounds what one router accepts from callers.
 type Limits struct {
 	HeaderBytes int           `yaml:"header_bytes"`
 	BodyBytes   int64         `yaml:"body_bytes"`
@@ -90,7 +91,7 @@
 	Peers     []string      `yaml:"peers"`
 	Allow     []string      `yaml:"allow"`
 	DrainTime time.Duration `yaml:"drain_time"`
-	// PeerTLS is used between processes where files are named.
+	// PeerTLS is used between processes if it names files.
 	PeerTLS TLS `yaml:"peer_tls"`
 }
 
@@ -109,22 +110,22 @@
 	DefaultRepeatWindow = 10 * time.Second
 )
 
-// Parts of the time between the signal to stop and the kill.
+// Parts of the time between the stop signal and the kill.
 const (
-	// maxNoticePart is the largest part that is spent on being seen to leave.
-	maxNoticePart = 3
-	// stopMargin is kept for closing links and writing the last log lines.
+	// noticeDivisor limits NoticeTime to this part of GraceTime.
+	noticeDivisor = 3
+	// stopMargin is reserved for closing links and writing the last log lines.
 	stopMargin = 300 * time.Millisecond
 )
 
-// DefaultAllow admits processes of the same machine only.
+// DefaultAllow allows only processes on the same machine.
 var DefaultAllow = []string{"127.0.0.0/8"}
 
-// Default fills what the file left out.
+// Default sets the fields that the file left out.
 func (r *Router) Default() {
 	setDefault(&r.NoticeTime, DefaultNoticeTime)
 	if r.GraceTime > 0 {
-		r.NoticeTime = min(r.NoticeTime, r.GraceTime/maxNoticePart)
+		r.NoticeTime = min(r.NoticeTime, r.GraceTime/noticeDivisor)
 		setDefault(&r.DrainTime, max(stopMargin, r.GraceTime-r.NoticeTime-stopMargin))
 	}
 	setDefault(&r.DrainTime, DefaultDrainTime)
@@ -144,7 +145,7 @@
 	}
 }
 
-// Default fills what the file left out.
+// Default sets the fields that the file left out.
 func (s *Side) Default() {
 	setDefault(&s.DrainTime, DefaultDrainTime)
 	if len(s.Allow) == 0 {
@@ -152,7 +153,7 @@
 	}
 }
 
-// Validate returns every fault of the router's settings.
+// Validate returns all faults in the router's settings.
 func (r *Router) Validate(file string) Problems {
 	c := &processChecker{file: file}
 	c.name("id", r.ID)
@@ -181,7 +182,7 @@
 	return c.problems
 }
 
-// Validate returns every fault of the side's settings.
+// Validate returns all faults in the side's settings.
 func (s *Side) Validate(file string) Problems {
 	c := &processChecker{file: file}
 	c.name("upstream", string(s.Upstream))
@@ -196,7 +197,7 @@
 	return c.problems
 }
 
-// processChecker gathers the problems of one process's settings file.
+// processChecker collects the problems of one process's settings file.
 type processChecker struct {
 	file     string
 	problems Problems
@@ -247,13 +248,13 @@
 	c.positive("direct.repeats.window", d.RetryBudget.Window > 0, d.RetryBudget.Window)
 }
 
-// tls refuses settings that name some of the files only.
+// tls rejects settings that name only some of the files.
 func (c *processChecker) tls(field string, t TLS, authority bool) {
 	if !t.Used() {
 		return
 	}
 	if t.Certificate == "" || t.Key == "" {
-		c.add(field, "a part of the files", "certificate and key, or none")
+		c.add(field, "only some of the files", "certificate and key, or none")
 	}
 	if authority && t.Authority == "" {
 		c.add(field+".authority", quote(""), "the file of the authority that issues the peers' certificates")
--- a/core/settings/process_test.go
+++ b/core/settings/process_test.go
@@ -7,17 +7,17 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestGraceTimeBoundsTheStop replays platforms that kill a process at different times after the signal to stop: open
-// requests get all of that time but for what the balancer and the end of the process need.
-func TestGraceTimeBoundsTheStop(t *testing.T) {
+// TestGraceTimeLimitsNoticeAndDrainTime covers platforms that kill a process at different times after the stop signal. Open
+// requests get all of that time except the notice time and the margin for the end of the process.
+func TestGraceTimeLimitsNoticeAndDrainTime(t *testing.T) {
 	tests := []struct {
 		name                 string
 		grace, notice, drain time.Duration
 	}{
 		{"no grace time", 0, DefaultNoticeTime, DefaultDrainTime},
-		{"ample", 30 * time.Second, 2 * time.Second, 27700 * time.Millisecond},
-		{"short", 3 * time.Second, time.Second, 1700 * time.Millisecond},
-		{"hardly any", 300 * time.Millisecond, 100 * time.Millisecond, stopMargin},
+		{"long grace time", 30 * time.Second, 2 * time.Second, 27700 * time.Millisecond},
+		{"short grace time", 3 * time.Second, time.Second, 1700 * time.Millisecond},
+		{"grace time as short as the margin", 300 * time.Millisecond, 100 * time.Millisecond, stopMargin},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/core/settings/validate.go
+++ b/core/settings/validate.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Bounds of the declarations.
+// Limits of the declared values.
 const (
 	maxDeadline   = time.Hour
 	maxMultiple   = 10.0
@@ -25,7 +25,7 @@
 
 const nameRule = "1 to 63 of a-z, 0-9, '.', '_' and '-', beginning with a letter or digit"
 
-// checker gathers the problems of a set of declarations.
+// checker collects the problems of a set of declarations.
 type checker struct {
 	problems Problems
 }
@@ -46,66 +46,66 @@
 	})
 }
 
-// Validate returns every fault of the declarations, in a steady order.
-func (f *Declarations) Validate() Problems {
+// Validate returns all faults in the declarations, sorted by their text.
+func (d *Declarations) Validate() Problems {
 	c := &checker{}
-	for name, p := range f.Profiles {
-		f.validateProfile(c, string(name), p)
+	for name, p := range d.Profiles {
+		d.validateProfile(c, string(name), p)
 	}
-	for name, s := range f.Services {
+	for name, s := range d.Services {
 		validateService(c, string(name), s)
 	}
-	for id, u := range f.Upstreams {
-		f.validateUpstream(c, string(id), u)
+	for id, u := range d.Upstreams {
+		d.validateUpstream(c, string(id), u)
 	}
-	for id, t := range f.Teams {
+	for id, t := range d.Teams {
 		validateTeam(c, string(id), t)
 	}
-	for name, r := range f.Routes {
-		f.validateRoute(c, string(name), r)
+	for name, r := range d.Routes {
+		d.validateRoute(c, string(name), r)
 	}
-	for name, l := range f.Limits {
+	for name, l := range d.Limits {
 		validateLimits(c, string(name), l)
 	}
-	f.validateAddresses(c)
+	d.validateAddresses(c)
 	return c.sorted()
 }
 
-// validateChange returns the faults that a change can have brought into declarations without fault.
-func (f *Declarations) validateChange(docs []Document) Problems {
+// validateChange returns the faults that a change can have introduced into valid declarations.
+func (d *Declarations) validateChange(docs []Document) Problems {
 	c := &checker{}
 	upstreams := false
-	for _, d := range docs {
-		kind, name, _ := strings.Cut(string(d.Key), "/")
+	for _, doc := range docs {
+		kind, name, _ := strings.Cut(string(doc.Key), "/")
 		switch kind {
 		case kindServices:
-			// Profiles and upstreams name services, so a change of one may touch them all.
-			return f.Validate()
+			// Profiles, upstreams and routes refer to services, so a changed service may affect all of them.
+			return d.Validate()
 		case kindUpstreams:
 			upstreams = true
 		}
-		if !d.Deleted {
-			f.validateOne(c, kind, name)
+		if !doc.Deleted {
+			d.validateOne(c, kind, name)
 		}
 	}
 	if upstreams {
-		f.validateAddresses(c)
+		d.validateAddresses(c)
 	}
 	return c.sorted()
 }
 
-func (f *Declarations) validateOne(c *checker, kind, name string) {
+func (d *Declarations) validateOne(c *checker, kind, name string) {
 	switch kind {
 	case kindProfiles:
-		f.validateProfile(c, name, f.Profiles[ProfileName(name)])
+		d.validateProfile(c, name, d.Profiles[ProfileName(name)])
 	case kindUpstreams:
-		f.validateUpstream(c, name, f.Upstreams[UpstreamID(name)])
+		d.validateUpstream(c, name, d.Upstreams[UpstreamID(name)])
 	case kindTeams:
-		validateTeam(c, name, f.Teams[TeamID(name)])
+		validateTeam(c, name, d.Teams[TeamID(name)])
 	case kindRoutes:
-		f.validateRoute(c, name, f.Routes[RouteName(name)])
+		d.validateRoute(c, name, d.Routes[RouteName(name)])
 	case kindLimits:
-		validateLimits(c, name, f.Limits[LimitsName(name)])
+		validateLimits(c, name, d.Limits[LimitsName(name)])
 	}
 }
 
@@ -120,10 +120,10 @@
 	c.check(t.MaxOpen >= 1, kindTeams, id, "max_open", t.MaxOpen, "at least 1")
 }
 
-func (f *Declarations) validateProfile(c *checker, name string, p Profile) {
+func (d *Declarations) validateProfile(c *checker, name string, p Profile) {
 	const kind = kindProfiles
 	c.check(namePattern.MatchString(name), kind, name, "", name, nameRule)
-	_, known := f.Services[p.Service]
+	_, known := d.Services[p.Service]
 	c.check(known, kind, name, "service", quote(p.Service), "the name of a declared service")
 	c.check(slices.Contains(Priorities, p.Priority), kind, name, "priority", quote(p.Priority), "urgent, normal or patient")
 	c.check(p.Deadline > 0 && p.Deadline <= maxDeadline, kind, name, "deadline", p.Deadline, "more than 0s, at most 1h")
@@ -146,41 +146,41 @@
 	c.check(s.CacheTokens > 0, kind, name, "cache_tokens", s.CacheTokens, "more than 0")
 }
 
-func (f *Declarations) validateUpstream(c *checker, id string, u Upstream) {
+func (d *Declarations) validateUpstream(c *checker, id string, u Upstream) {
 	const kind = kindUpstreams
 	c.check(namePattern.MatchString(id), kind, id, "", id, nameRule)
-	_, known := f.Services[u.Service]
+	_, known := d.Services[u.Service]
 	c.check(known, kind, id, "service", quote(u.Service), "the name of a declared service")
 	_, err := netip.ParseAddrPort(u.Side)
 	c.check(err == nil, kind, id, "side", quote(u.Side), "an IP number and port, such as 10.0.0.7:7400")
 	c.check(namePattern.MatchString(string(u.DataCentre)), kind, id, "data_centre", quote(u.DataCentre), nameRule)
 }
 
-// validateAddresses refuses two upstreams behind one side address; the one whose name comes later is at fault.
-func (f *Declarations) validateAddresses(c *checker) {
-	first := make(map[string]UpstreamID, len(f.Upstreams))
-	for id, u := range f.Upstreams {
+// validateAddresses rejects two upstreams with the same side address. The fault is that of the name that sorts later.
+func (d *Declarations) validateAddresses(c *checker) {
+	byAddress := make(map[string]UpstreamID, len(d.Upstreams))
+	for id, u := range d.Upstreams {
 		if u.Destroyed {
 			continue
 		}
-		other, taken := first[u.Side]
+		other, taken := byAddress[u.Side]
 		if !taken {
-			first[u.Side] = id
+			byAddress[u.Side] = id
 			continue
 		}
-		first[u.Side] = min(id, other)
+		byAddress[u.Side] = min(id, other)
 		c.check(false, kindUpstreams, string(max(id, other)), "side", quote(u.Side), "an address of its own; "+string(min(id, other))+" has this one")
 	}
 }
 
 var routeKinds = []RouteKind{RouteIdempotent, RouteOnce, RouteStream}
 
-func (f *Declarations) validateRoute(c *checker, name string, r Route) {
+func (d *Declarations) validateRoute(c *checker, name string, r Route) {
 	const kind = kindRoutes
 	c.check(namePattern.MatchString(name), kind, name, "", name, nameRule)
 	c.check(r.Host != "", kind, name, "host", quote(r.Host), "a host name")
-	whole := strings.HasPrefix(r.PathPrefix, "/") && strings.HasSuffix(r.PathPrefix, "/")
-	c.check(whole, kind, name, "path_prefix", quote(r.PathPrefix), "a path that begins and ends with a slash")
+	delimited := strings.HasPrefix(r.PathPrefix, "/") && strings.HasSuffix(r.PathPrefix, "/")
+	c.check(delimited, kind, name, "path_prefix", quote(r.PathPrefix), "a path that begins and ends with a slash")
 	c.check(slices.Contains(routeKinds, r.Kind), kind, name, "kind", quote(r.Kind), "idempotent, once or stream")
 	c.check(!r.Resumable || r.Kind == RouteStream, kind, name, "resumable", r.Resumable, "false unless kind is stream")
 	c.check(r.Attempts >= 1 && r.Attempts <= maxRetries, kind, name, "attempts", r.Attempts, "1 to 10")
@@ -188,7 +188,7 @@
 	c.check(r.Rank >= 0, kind, name, "rank", r.Rank, "at least 0")
 	weight := 0
 	for _, b := range r.Backends {
-		_, known := f.Services[b.Service]
+		_, known := d.Services[b.Service]
 		c.check(known, kind, name, "backends", quote(b.Service), "the name of a declared service")
 		c.check(b.Weight >= 0, kind, name, "backends", b.Weight, "a weight of at least 0")
 		weight += b.Weight
