--- a/core/operator/announcer.go
+++ b/core/operator/announcer.go
@@ -7,7 +7,7 @@
 	"github.com/charmbracelet/log"
 )
 
-// Announcer logs that every service before it has started, and that stopping begins.
+// Announcer logs that all services before it have started, and later that the process is stopping.
 type Announcer struct {
 	Log     *log.Logger
 	Message string
@@ -15,13 +15,13 @@
 	started atomic.Bool
 }
 
-// Started reports whether every service before this one has started.
+// Started reports whether all services before this one have started.
 func (a *Announcer) Started() bool { return a.started.Load() }
 
 // String returns the service's name.
 func (a *Announcer) String() string { return "announcer" }
 
-// Run logs and waits for ctx.
+// Run logs Message, waits until ctx ends and logs the stop.
 func (a *Announcer) Run(ctx context.Context, ready func()) error {
 	ready()
 	a.started.Store(true)
--- a/core/operator/bounded.go
+++ b/core/operator/bounded.go
@@ -7,40 +7,42 @@
 	"time"
 )
 
-// Bounds of the log.
+// Limits of the log.
 const (
-	// maxLinesPerSecond bounds the lines that one process writes, and maxBurst what may come at once.
+	// maxLinesPerSecond limits the average rate of one process's lines, and maxBurst the lines written at once.
 	maxLinesPerSecond = 150
 	maxBurst          = 600
-	// queueLines is the number of lines that wait for a slow reader of the log.
-	queueLines = 1024
-	// flushInterval is how long a line may wait for others to be written with it.
+	// maxQueuedLines is the number of lines that may wait for a slow reader of the log.
+	maxQueuedLines = 1024
+	// flushInterval is the pause between writes, in which lines gather for the next one.
 	flushInterval = 50 * time.Millisecond
 )
 
-// BoundedWriter writes log lines beside the caller: it never blocks, and it drops and counts the lines above its rate.
+// BoundedWriter writes log lines in the background, so that Write does not block on a slow reader of the log. It drops the
+// lines above its rate and those that find its queue full, and logs their number.
 type BoundedWriter struct {
 	out   io.Writer
 	lines chan []byte
 
-	mu      sync.Mutex
-	allowed float64
+	mu sync.Mutex
+	// tokens is the number of lines that may be written now, in the manner of a token bucket.
+	tokens  float64
 	last    time.Time
 	dropped int
 	done    chan struct{}
 	stopped bool
 }
 
-// NewBoundedWriter returns a writer in front of out.
+// NewBoundedWriter returns a writer to out and starts its goroutine, which runs until Close.
 func NewBoundedWriter(out io.Writer) *BoundedWriter {
 	w := &BoundedWriter{
-		out: out, lines: make(chan []byte, queueLines), allowed: maxBurst, last: time.Now(), done: make(chan struct{}),
+		out: out, lines: make(chan []byte, maxQueuedLines), tokens: maxBurst, last: time.Now(), done: make(chan struct{}),
 	}
 	go w.run()
 	return w
 }
 
-// Write queues one line.
+// Write queues one line, or drops and counts it. It returns the full length in both cases.
 func (w *BoundedWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -49,13 +51,13 @@
 	}
 	n := len(line)
 	now := time.Now()
-	w.allowed = min(maxBurst, w.allowed+maxLinesPerSecond*now.Sub(w.last).Seconds())
+	w.tokens = min(maxBurst, w.tokens+maxLinesPerSecond*now.Sub(w.last).Seconds())
 	w.last = now
-	if w.allowed < 1 || len(w.lines) == cap(w.lines) {
+	if w.tokens < 1 || len(w.lines) == cap(w.lines) {
 		w.dropped++
 		return n, nil
 	}
-	w.allowed--
+	w.tokens--
 	if w.dropped > 0 {
 		line = append(fmt.Appendf(nil, "{\"level\":\"warn\",\"msg\":\"log lines left out\",\"lines\":%d}\n", w.dropped), line...)
 		w.dropped = 0
@@ -66,7 +68,7 @@
 	return n, nil
 }
 
-// run writes what is queued, several lines at a time.
+// run writes the queued lines in batches until the queue is closed.
 func (w *BoundedWriter) run() {
 	defer close(w.done)
 	var batch []byte
@@ -76,14 +78,14 @@
 			batch = append(batch, <-w.lines...)
 		}
 		if _, err := w.out.Write(batch); err != nil {
-			// There is no other place to report that the log cannot be written.
+			// A failed write of the log cannot be reported anywhere else.
 			continue
 		}
 		time.Sleep(flushInterval)
 	}
 }
 
-// Close writes what is queued; later lines are written at once.
+// Close writes the queued lines. Later lines are written synchronously.
 func (w *BoundedWriter) Close() {
 	w.mu.Lock()
 	if !w.stopped {
--- a/core/operator/bounded_test.go
+++ b/core/operator/bounded_test.go
@@ -10,28 +10,29 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// buffer is a log that can be read while it is written.
-type buffer struct {
+// syncBuffer is a log that can be read while it is written.
+type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (b *buffer) Write(p []byte) (int, error) {
+func (b *syncBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.Write(p)
 }
 
-func (b *buffer) String() string {
+func (b *syncBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.String()
 }
 
-// TestLinesAboveTheRateAreCounted replays a burst of lines; each call must report the length that it was given.
+// TestLinesAboveTheRateAreCounted writes a burst of lines. Each call must return the length of its line, also if it was
+// dropped.
 func TestLinesAboveTheRateAreCounted(t *testing.T) {
 	c := qt.New(t)
-	var out buffer
+	var out syncBuffer
 	w := NewBoundedWriter(&out)
 	line := []byte("{\"msg\":\"x\"}\n")
 	for range 5 * maxBurst {
@@ -41,7 +42,7 @@
 	}
 	w.mu.Lock()
 	dropped := w.dropped
-	w.allowed = 1
+	w.tokens = 1
 	w.mu.Unlock()
 	c.Assert(dropped > 0, qt.IsTrue)
 	n, err := w.Write(line)
@@ -51,18 +52,18 @@
 	c.Assert(strings.Contains(out.String(), fmt.Sprintf("\"lines\":%d}", dropped)), qt.IsTrue)
 }
 
-// stuck is a log whose reader has stopped.
-type stuck struct{ release chan struct{} }
+// blockedWriter is a log whose reader has stopped.
+type blockedWriter struct{ release chan struct{} }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
-func TestWritersDoNotWaitForTheLog(t *testing.T) {
-	out := &stuck{release: make(chan struct{})}
+func TestWriteDoesNotBlockOnASlowLog(t *testing.T) {
+	out := &blockedWriter{release: make(chan struct{})}
 	w := NewBoundedWriter(out)
-	for range 2 * queueLines {
+	for range 2 * maxQueuedLines {
 		_, _ = w.Write([]byte("x\n"))
 	}
 	close(out.release)
--- a/core/operator/links.go
+++ b/core/operator/links.go
@@ -4,12 +4,12 @@
 	"rattantrack.dev/core/peer"
 )
 
-// Links shows the open links of a process.
+// Links exposes the open links of a process as a Dumper.
 type Links struct {
 	Endpoint *peer.Endpoint
 }
 
-// LinkStatus is what is shown of one link.
+// LinkStatus is the state of one link in a dump.
 type LinkStatus struct {
 	Address  string    `json:"address"`
 	Peer     string    `json:"peer"`
@@ -20,10 +20,10 @@
 	IdleMS   int64     `json:"idle_ms"`
 }
 
-// String returns the name under which the links are dumped.
+// String returns the name of the links' section in a dump.
 func (l *Links) String() string { return "links" }
 
-// Dump returns the links that are open now.
+// Dump returns the status of all open links.
 func (l *Links) Dump() any {
 	links := l.Endpoint.Links()
 	list := make([]LinkStatus, 0, len(links))
--- a/core/operator/main.go
+++ b/core/operator/main.go
@@ -21,7 +21,7 @@
 	ExitSettings = 2
 )
 
-// gcPercent trades processor time for memory: the heaps are small and the VMs as well.
+// gcPercent spends processor time to save memory, because the heaps are small and the VMs have little memory.
 const gcPercent = 30
 
 // flags is the command line of a server program.
@@ -29,7 +29,7 @@
 	Config string `required:"" type:"existingfile" help:"Settings file in YAML."`
 }
 
-// Main runs a server program until it is told to stop, and returns its exit code.
+// Main runs a server program until a signal stops it, and returns its exit code.
 func Main(name, description string, start func(ctx context.Context, file string, l *log.Logger) error) int {
 	var f flags
 	kong.Parse(&f, kong.Name(name), kong.Description(description))
@@ -45,8 +45,8 @@
 	return ExitCode(l, start(ctx, f.Config, l))
 }
 
-// cancelOnSignal begins the stop at the first signal. Signals stay caught until the process has ended, so that a second
-// one cuts nothing that the first lets finish.
+// cancelOnSignal calls cancel at the first signal. Signals stay caught until the process ends, so that a second one does
+// not interrupt a graceful stop.
 func cancelOnSignal(cancel context.CancelFunc) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
@@ -56,7 +56,7 @@
 	}()
 }
 
-// ExitCode logs what ended a program and returns its exit code; faults in settings are logged one by one.
+// ExitCode logs the error that ended a program and returns the exit code. Faults in settings are logged one by one.
 func ExitCode(l *log.Logger, err error) int {
 	if err == nil {
 		return ExitOK
--- a/core/operator/metrics.go
+++ b/core/operator/metrics.go
@@ -9,17 +9,17 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// metricsInterval is how often counters are handed to the reporter.
+// metricsInterval is the interval at which metrics are reported to the Prometheus reporter.
 const metricsInterval = time.Second
 
-// Metrics is the metrics of one process with the handler that scrapers read.
+// Metrics is the metrics scope of one process with the HTTP handler for Prometheus.
 type Metrics struct {
 	Scope   tally.Scope
 	Handler http.Handler
 	closer  io.Closer
 }
 
-// NewMetrics returns metrics with the given prefix.
+// NewMetrics returns a metrics scope whose names start with prefix.
 func NewMetrics(prefix string) *Metrics {
 	reporter := prometheus.NewReporter(prometheus.Options{DefaultTimerType: prometheus.HistogramTimerType})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
--- a/core/operator/server.go
+++ b/core/operator/server.go
@@ -5,7 +5,7 @@
 	"crypto/tls"
 	"net"
 	"net/http"
-	// The profiler registers itself with the default mux, which nothing else serves.
+	// The profiler registers its handlers with the default mux, which only this server serves.
 	_ "net/http/pprof"
 	"time"
 
@@ -13,20 +13,20 @@
 	"github.com/kataras/iris/v12"
 )
 
-// Times and sizes of the operators' server.
+// Limits of the operators' server.
 const (
-	headerLimit = 5 * time.Second
-	stopLimit   = 2 * time.Second
-	maxHeader   = 16 << 10
+	headerTimeout  = 5 * time.Second
+	stopTimeout    = 2 * time.Second
+	maxHeaderBytes = 16 << 10
 )
 
-// Dumper is a part of a process that shows its state; names, counts and ages only, never contents or secrets.
+// Dumper is a component that exposes its state. A dump contains names, counts and ages, but no contents or secrets.
 type Dumper interface {
 	String() string
 	Dump() any
 }
 
-// Section is the state of one part of a process.
+// Section is the state of one component in a dump.
 type Section struct {
 	Name  string `json:"name"`
 	State any    `json:"state"`
@@ -36,7 +36,7 @@
 type Server struct {
 	Address string
 	Metrics *Metrics
-	// Ready reports whether the process takes work.
+	// Ready reports whether the process accepts work. Without it, the process is always ready.
 	Ready   func() bool
 	Dumpers []Dumper
 }
@@ -50,8 +50,8 @@
 	if err != nil {
 		return err
 	}
-	srv := &http.Server{Handler: app, ReadHeaderTimeout: headerLimit, MaxHeaderBytes: maxHeader}
-	return ServeHTTP(ctx, srv, s.Address, stopLimit, ready)
+	srv := &http.Server{Handler: app, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes}
+	return ServeHTTP(ctx, srv, s.Address, stopTimeout, ready)
 }
 
 func (s *Server) app() (http.Handler, error) {
@@ -65,7 +65,7 @@
 		app.Get("/metrics", iris.FromStd(s.Metrics.Handler))
 	}
 	if err := app.Build(); err != nil {
-		return nil, errors.Wrap(err, "building the operators' routes")
+		return nil, errors.Wrap(err, "building the routes of the operators' server")
 	}
 	return app, nil
 }
@@ -84,11 +84,11 @@
 	for _, d := range s.Dumpers {
 		sections = append(sections, Section{Name: d.String(), State: d.Dump()})
 	}
-	// A caller that went away needs no answer.
+	// Write errors are ignored, since the client is gone.
 	_ = ctx.JSON(sections)
 }
 
-// ServeHTTP listens on address and serves until ctx ends, then waits up to limit for open requests.
+// ServeHTTP listens on address and serves until ctx ends, then waits up to limit for open requests and closes the rest.
 func ServeHTTP(ctx context.Context, srv *http.Server, address string, limit time.Duration, ready func()) error {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
