--- a/core/kernel/doc.go
+++ b/core/kernel/doc.go
@@ -1,2 +1,2 @@
-// Package kernel starts named services in order, lets them find each other by name, and stops them in reverse.
+// Package kernel starts the named services of a process in order, finds them by name and stops them in reverse order.
 package kernel
--- a/core/kernel/kernel.go
+++ b/core/kernel/kernel.go
@@ -8,13 +8,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Service is one named part of a process; Run calls ready once it can be used and returns after ctx ends.
+// Service is one named component of a process. Run calls ready when the service can be used and returns after ctx ends.
 type Service interface {
 	fmt.Stringer
 	Run(ctx context.Context, ready func()) error
 }
 
-// MissingServiceError reports a lookup of a service that is absent or of another type.
+// MissingServiceError reports a lookup of a service that does not exist or has another type.
 type MissingServiceError struct {
 	Name string
 }
@@ -23,7 +23,7 @@
 	return "no usable service named " + e.Name
 }
 
-// Kernel holds the services of one process; its zero value is ready for Add.
+// Kernel runs the services of one process. Its zero value is ready to use.
 type Kernel struct {
 	mu       sync.Mutex
 	services []Service
@@ -48,11 +48,11 @@
 			return t, nil
 		}
 	}
-	var none T
-	return none, &MissingServiceError{Name: name}
+	var zero T
+	return zero, &MissingServiceError{Name: name}
 }
 
-// running is a started service with the means to stop it.
+// running is a started service with its cancel function and its result.
 type running struct {
 	service Service
 	cancel  context.CancelFunc
@@ -87,13 +87,13 @@
 
 // start runs s and returns when it is ready, has failed, or ctx has ended.
 func start(ctx context.Context, s Service, failed chan<- *running) (*running, error) {
-	// Each service has its own context, so that stopping follows the reverse order and not ctx itself.
-	own, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	// Each service has its own context, so that the end of ctx does not stop all services at once but in reverse order.
+	serviceCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	r := &running{service: s, cancel: cancel, done: make(chan struct{})}
 	ready := make(chan struct{})
 	var once sync.Once
 	go func() {
-		r.err = s.Run(own, func() { once.Do(func() { close(ready) }) })
+		r.err = s.Run(serviceCtx, func() { once.Do(func() { close(ready) }) })
 		close(r.done)
 		failed <- r
 	}()
@@ -116,16 +116,16 @@
 	}
 }
 
-// exitCause names why a service returned although nobody had stopped it.
+// exitCause returns why a service returned without being stopped.
 func exitCause(r *running) error {
 	if r.err != nil {
 		return r.err
 	}
-	return errors.New("service ended by itself")
+	return errors.New("service returned without being stopped")
 }
 
 func stop(started []*running) error {
-	var all error
+	var combined error
 	for i := len(started) - 1; i >= 0; i-- {
 		r := started[i]
 		r.cancel()
@@ -133,7 +133,7 @@
 		if r.err == nil || errors.Is(r.err, context.Canceled) {
 			continue
 		}
-		all = errors.CombineErrors(all, errors.Wrapf(r.err, "stopping %s", r.service))
+		combined = errors.CombineErrors(combined, errors.Wrapf(r.err, "stopping %s", r.service))
 	}
-	return all
+	return combined
 }
--- a/core/kernel/kernel_test.go
+++ b/core/kernel/kernel_test.go
@@ -40,7 +40,7 @@
 	c.Assert(events, qt.DeepEquals, []string{"start a", "start b", "stop b", "stop a"})
 }
 
-func TestRunStopsWhatStartedWhenAServiceFails(t *testing.T) {
+func TestRunStopsStartedServicesWhenOneFails(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	c := qt.New(t)
 	var events []string
