--- a/core/clock/clock.go
+++ b/core/clock/clock.go
@@ -7,13 +7,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// Instant is the time since the machine started, suspension included.
+// Instant is a time since the machine's boot, including suspension.
 type Instant time.Duration
 
-// Boot reads CLOCK_BOOTTIME of the machine; its zero value is ready to use.
+// Boot reads the machine's CLOCK_BOOTTIME. Its zero value is ready to use.
 type Boot struct{}
 
-// Now returns the current instant.
+// Now returns the current instant. If CLOCK_BOOTTIME cannot be read, it falls back to the wall clock.
 func (Boot) Now() Instant {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -25,13 +25,13 @@
 // Add returns the instant d later.
 func (i Instant) Add(d time.Duration) Instant { return i + Instant(d) }
 
-// Sub returns the time from earlier to i.
+// Sub returns the duration from earlier to i.
 func (i Instant) Sub(earlier Instant) time.Duration { return time.Duration(i - earlier) }
 
 // Before reports whether i comes before other.
 func (i Instant) Before(other Instant) bool { return i < other }
 
-// Sleep waits for d and reports true, or false as soon as ctx ends.
+// Sleep waits for d and returns true, or returns false as soon as ctx ends.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/core/clock/doc.go
+++ b/core/clock/doc.go
@@ -1,2 +1,2 @@
-// Package clock gives instants on a clock that also counts the time a machine was suspended.
+// Package clock provides instants of a clock that includes the time during which a machine was suspended.
 package clock
