--- a/rattantrack/internal/cmd/cmd_test.go
+++ b/rattantrack/internal/cmd/cmd_test.go
@@ -14,12 +14,12 @@
 )
 
 func run(args ...string) (code int, out, errOut string) {
-	var o, e bytes.Buffer
-	code = Main(args, &o, &e)
-	return code, o.String(), e.String()
+	var stdout, stderr bytes.Buffer
+	code = Main(args, &stdout, &stderr)
+	return code, stdout.String(), stderr.String()
 }
 
-func TestCheckTakesTheExamples(t *testing.T) {
+func TestCheckAcceptsTheExamples(t *testing.T) {
 	for _, dir := range []string{"kanem", "clachan"} {
 		code, out, errOut := run("check", filepath.Join("../../../examples", dir))
 		qt.Assert(t, code, qt.Equals, 0, qt.Commentf("%s", errOut))
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestCheckReportsEveryFaultWithItsLine(t *testing.T) {
+func TestCheckReportsEveryProblemWithItsLine(t *testing.T) {
 	c := qt.New(t)
 	code, out, _ := run("--json", "check", "testdata/faulty")
 	c.Assert(code, qt.Equals, 2)
@@ -51,13 +51,13 @@
 	c.Assert(want, qt.HasLen, 0)
 }
 
-func TestExplainSaysThatADebitRunsOnce(t *testing.T) {
+func TestExplainDescribesAtMostOnceExecution(t *testing.T) {
 	code, out, _ := run("explain", "../../../examples/kanem", "debit-fee")
 	qt.Assert(t, code, qt.Equals, 0)
 	qt.Assert(t, out, qt.Contains, "at most once")
 }
 
-func TestDiffNamesWhatChanged(t *testing.T) {
+func TestDiffShowsChangedLines(t *testing.T) {
 	c := qt.New(t)
 	dir := t.TempDir()
 	c.Assert(os.CopyFS(dir, os.DirFS("../../../examples/kanem")), qt.IsNil)
@@ -71,7 +71,7 @@
 	c.Assert(out, qt.Contains, "changed  services/letterhouse\n  - multiple: 1.25\n  + multiple: 1.4\n")
 }
 
-func TestMistakesOnTheCommandLineExitWithTwo(t *testing.T) {
+func TestUsageErrorsExitWithCodeTwo(t *testing.T) {
 	code, _, errOut := run("check")
 	qt.Assert(t, code, qt.Equals, 2)
 	qt.Assert(t, errOut, qt.Not(qt.Equals), "")
--- a/rattantrack/internal/cmd/diff.go
+++ b/rattantrack/internal/cmd/diff.go
@@ -12,7 +12,7 @@
 	New string `arg:"" type:"existingdir" help:"Directory of the new declarations."`
 }
 
-// change is one declaration that differs.
+// change is one declaration that was added, changed or removed.
 type change struct {
 	Key  settings.DocumentKey `json:"key"`
 	Kind string               `json:"kind"`
@@ -43,14 +43,16 @@
 	return o.print(changes, b.String())
 }
 
+// documents returns the declarations in a directory as documents.
 func documents(dir string) ([]settings.Document, error) {
-	f, err := settings.LoadDeclarations(dir)
+	declarations, err := settings.LoadDeclarations(dir)
 	if err != nil {
 		return nil, err
 	}
-	return f.Documents()
+	return declarations.Documents()
 }
 
+// compare returns the changes from one list of documents to another.
 func compare(before, after []settings.Document) []change {
 	old := make(map[settings.DocumentKey]string, len(before))
 	for _, d := range before {
@@ -58,24 +60,24 @@
 	}
 	changes := []change{}
 	for _, d := range after {
-		have, known := old[d.Key]
+		oldText, existed := old[d.Key]
 		delete(old, d.Key)
 		switch {
-		case !known:
+		case !existed:
 			changes = append(changes, change{Key: d.Key, Kind: "added", New: d.Value})
-		case have != d.Value:
-			changes = append(changes, change{Key: d.Key, Kind: "changed", Old: have, New: d.Value})
+		case oldText != d.Value:
+			changes = append(changes, change{Key: d.Key, Kind: "changed", Old: oldText, New: d.Value})
 		}
 	}
 	for _, d := range before {
-		if text, left := old[d.Key]; left {
+		if text, removed := old[d.Key]; removed {
 			changes = append(changes, change{Key: d.Key, Kind: "removed", Old: text})
 		}
 	}
 	return changes
 }
 
-// writeLines writes the lines of text that other has not.
+// writeLines writes the lines of text that other does not contain.
 func writeLines(b *strings.Builder, mark, text, other string) {
 	for _, line := range strings.Split(strings.TrimSpace(text), "\n") {
 		if line != "" && !strings.Contains(other, line+"\n") {
--- a/rattantrack/internal/cmd/doc.go
+++ b/rattantrack/internal/cmd/doc.go
@@ -1,2 +1,2 @@
-// Package cmd holds the operators' command line, a file for each command.
+// Package cmd implements the command line for operators, with one file for each command.
 package cmd
--- a/rattantrack/internal/cmd/profiles.go
+++ b/rattantrack/internal/cmd/profiles.go
@@ -15,12 +15,12 @@
 
 // Run lists the profiles.
 func (c *profilesCmd) Run(o *output) error {
-	f, err := settings.LoadDeclarations(c.Dir)
+	declarations, err := settings.LoadDeclarations(c.Dir)
 	if err != nil {
 		return err
 	}
 	var names []string
-	for name := range f.Profiles {
+	for name := range declarations.Profiles {
 		names = append(names, string(name))
 	}
 	sort.Strings(names)
@@ -28,13 +28,13 @@
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "PROFILE\tSERVICE\tPRIORITY\tDEADLINE\tREPEATABLE\tWHAT FOR")
 	for _, name := range names {
-		p := f.Profiles[settings.ProfileName(name)]
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", name, p.Service, p.Priority, p.Deadline, yesNo(p.Idempotent), p.Description)
+		profile := declarations.Profiles[settings.ProfileName(name)]
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", name, profile.Service, profile.Priority, profile.Deadline, yesNo(profile.Idempotent), profile.Description)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	return o.print(f.Profiles, b.String())
+	return o.print(declarations.Profiles, b.String())
 }
 
 func yesNo(b bool) string {
--- a/rattantrack/internal/cmd/root.go
+++ b/rattantrack/internal/cmd/root.go
@@ -16,13 +16,13 @@
 	"rattantrack.dev/core/settings"
 )
 
-// output is where a command writes, and how.
+// output is the writer and format of a command's output.
 type output struct {
 	out  io.Writer
 	json bool
 }
 
-// print writes v as JSON where that was asked for, and as text otherwise.
+// print writes v as JSON if the user asked for JSON, else text.
 func (o *output) print(v any, text string) error {
 	if !o.json {
 		_, err := fmt.Fprint(o.out, text)
@@ -33,7 +33,7 @@
 	return enc.Encode(v)
 }
 
-// root is the command line.
+// root defines the commands and the flags that they share.
 type root struct {
 	JSON bool `name:"json" help:"Write JSON instead of text."`
 
@@ -64,7 +64,7 @@
 	}
 	k, err := parser.Parse(args)
 	if exited >= 0 {
-		// Help was asked for and has been printed.
+		// kong has printed the help.
 		return exited
 	}
 	if err != nil {
@@ -78,6 +78,7 @@
 	return exitCode(errOut, o, k.Run(o))
 }
 
+// exitCode prints a command's error and returns its exit code.
 func exitCode(errOut io.Writer, o *output, err error) int {
 	if err == nil {
 		return operator.ExitOK
--- a/rattantrack/internal/cmd/send.go
+++ b/rattantrack/internal/cmd/send.go
@@ -18,7 +18,7 @@
 	Stream  bool   `help:"Read the answer as events."`
 }
 
-// chatBody is the body of a chat of one message.
+// chatBody is the request body of a chat.
 type chatBody struct {
 	Model    string        `json:"model"`
 	Stream   bool          `json:"stream"`
@@ -30,7 +30,7 @@
 	Content string `json:"content"`
 }
 
-// Run sends the chat and copies the answer.
+// Run sends the chat and writes the answer as it arrives.
 func (c *sendCmd) Run(ctx context.Context, o *output) error {
 	body, err := json.Marshal(chatBody{
 		Model:    c.Profile,
--- a/rattantrack/internal/cmd/status.go
+++ b/rattantrack/internal/cmd/status.go
@@ -19,26 +19,26 @@
 	Every     time.Duration `default:"2s" help:"Time between two views with --watch."`
 }
 
-// row is one process in the view.
-type row struct {
-	Address  string            `json:"address"`
-	Revision settings.Revision `json:"revision"`
-	Door     *process.Door     `json:"door,omitempty"`
-	Error    string            `json:"error,omitempty"`
+// processRow is the state of one process. Side is nil for a router or an unreachable process.
+type processRow struct {
+	Address  string              `json:"address"`
+	Revision settings.Revision   `json:"revision"`
+	Side     *process.SideStatus `json:"door,omitempty"`
+	Error    string              `json:"error,omitempty"`
 }
 
-// view is a fleet at one moment.
-type view struct {
-	Rows []row `json:"processes"`
-	// Skew is the largest load over the mean, by service.
+// fleetView is the state of a fleet at one time.
+type fleetView struct {
+	Rows []processRow `json:"processes"`
+	// Skew is the ratio of the largest to the mean load of each service's sides.
 	Skew map[settings.ServiceName]float64 `json:"skew"`
 }
 
-// Run shows the fleet.
+// Run shows the fleet, repeatedly with --watch.
 func (c *statusCmd) Run(ctx context.Context, o *output) error {
 	for {
-		v := c.look(ctx)
-		if err := o.print(v, v.text()); err != nil || !c.Watch {
+		fleet := c.poll(ctx)
+		if err := o.print(fleet, fleet.text()); err != nil || !c.Watch {
 			return err
 		}
 		select {
@@ -49,14 +49,15 @@
 	}
 }
 
-func (c *statusCmd) look(ctx context.Context) view {
-	v := view{Rows: make([]row, len(c.Addresses))}
+// poll queries all processes at the same time.
+func (c *statusCmd) poll(ctx context.Context) fleetView {
+	v := fleetView{Rows: make([]processRow, len(c.Addresses))}
 	var wg sync.WaitGroup
 	for i, address := range c.Addresses {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			v.Rows[i] = ask(ctx, address)
+			v.Rows[i] = fetchRow(ctx, address)
 		}()
 	}
 	wg.Wait()
@@ -64,25 +65,25 @@
 	return v
 }
 
-func ask(ctx context.Context, address string) row {
+func fetchRow(ctx context.Context, address string) processRow {
 	sections, err := process.Dump(ctx, address)
 	if err != nil {
-		return row{Address: address, Error: err.Error()}
+		return processRow{Address: address, Error: err.Error()}
 	}
-	r := row{Address: address, Revision: process.Revision(sections)}
-	var d process.Door
-	if process.Find(sections, "door", &d) {
-		r.Door = &d
+	r := processRow{Address: address, Revision: process.Revision(sections)}
+	var side process.SideStatus
+	if process.Find(sections, "door", &side) {
+		r.Side = &side
 	}
 	return r
 }
 
-// skew returns the largest load over the mean of each service's sides.
-func skew(rows []row) map[settings.ServiceName]float64 {
+// skew returns the ratio of the largest to the mean load of each service's sides. It leaves out services without load.
+func skew(rows []processRow) map[settings.ServiceName]float64 {
 	loads := make(map[settings.ServiceName][]float64)
 	for _, r := range rows {
-		if r.Door != nil {
-			loads[r.Door.Service] = append(loads[r.Door.Service], float64(r.Door.Load))
+		if r.Side != nil {
+			loads[r.Side.Service] = append(loads[r.Side.Service], float64(r.Side.Load))
 		}
 	}
 	all := make(map[settings.ServiceName]float64)
@@ -99,13 +100,14 @@
 	return all
 }
 
+// barWidth is the length in characters of the bar for the largest load.
 const barWidth = 30
 
-func (v view) text() string {
+func (v fleetView) text() string {
 	largest := 1.0
 	for _, r := range v.Rows {
-		if r.Door != nil {
-			largest = max(largest, float64(r.Door.Load))
+		if r.Side != nil {
+			largest = max(largest, float64(r.Side.Load))
 		}
 	}
 	var b strings.Builder
@@ -114,7 +116,7 @@
 	for _, r := range v.Rows {
 		fmt.Fprintln(w, r.text(largest))
 	}
-	// Writing to a builder cannot fail.
+	// Writing to a strings.Builder cannot fail.
 	_ = w.Flush()
 	var names []string
 	for name := range v.Skew {
@@ -127,18 +129,18 @@
 	return b.String()
 }
 
-func (r row) text(largest float64) string {
+func (r processRow) text(largest float64) string {
 	if r.Error != "" {
 		return fmt.Sprintf("%s\t-\t%s\t\t\t\t", r.Address, r.Error)
 	}
-	if r.Door == nil {
+	if r.Side == nil {
 		return fmt.Sprintf("%s\t%d\trouter\t\t\t\t", r.Address, r.Revision)
 	}
-	d := r.Door
-	name := string(d.Upstream)
-	if d.Leaving {
+	side := r.Side
+	name := string(side.Upstream)
+	if side.Leaving {
 		name += " (leaving)"
 	}
-	bar := strings.Repeat("#", int(float64(d.Load)/largest*barWidth))
-	return fmt.Sprintf("%s\t%d\t%s\t%d\t%d\t%.0f\t%s", r.Address, r.Revision, name, d.Running, d.Queued, float64(d.Load), bar)
+	bar := strings.Repeat("#", int(float64(side.Load)/largest*barWidth))
+	return fmt.Sprintf("%s\t%d\t%s\t%d\t%d\t%.0f\t%s", r.Address, r.Revision, name, side.Running, side.Queued, float64(side.Load), bar)
 }
--- a/rattantrack/internal/process/client.go
+++ b/rattantrack/internal/process/client.go
@@ -13,20 +13,20 @@
 	"rattantrack.dev/core/settings"
 )
 
-// Bounds of one question.
+// Limits on reading one dump.
 const (
-	askLimit = 3 * time.Second
-	maxBytes = 16 << 20
+	dumpTimeout  = 3 * time.Second
+	maxDumpBytes = 16 << 20
 )
 
-// Section is the state of one part of a process.
+// Section is the state of one component of a process.
 type Section struct {
 	Name  string          `json:"name"`
 	State json.RawMessage `json:"state"`
 }
 
-// Door is the part of a side's state that status shows.
-type Door struct {
+// SideStatus is the part of a side's state that the status command shows.
+type SideStatus struct {
 	Upstream settings.UpstreamID  `json:"upstream"`
 	Service  settings.ServiceName `json:"service"`
 	Leaving  bool                 `json:"leaving"`
@@ -36,9 +36,9 @@
 	Queued   int                  `json:"queued"`
 }
 
-// Dump asks a process for its state.
+// Dump reads the state of the process at an operators' address.
 func Dump(ctx context.Context, address string) ([]Section, error) {
-	ctx, cancel := context.WithTimeout(ctx, askLimit)
+	ctx, cancel := context.WithTimeout(ctx, dumpTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/dump", nil)
 	if err != nil {
@@ -53,11 +53,11 @@
 		return nil, errors.Newf("%s answered %d", address, res.StatusCode)
 	}
 	var sections []Section
-	err = json.NewDecoder(io.LimitReader(res.Body, maxBytes)).Decode(&sections)
+	err = json.NewDecoder(io.LimitReader(res.Body, maxDumpBytes)).Decode(&sections)
 	return sections, errors.Wrapf(err, "reading the answer of %s", address)
 }
 
-// Find decodes the named part of a state into v, and reports whether it was there.
+// Find decodes the named section into v; it returns false if the section is missing or can't be decoded.
 func Find(sections []Section, name string, v any) bool {
 	for _, s := range sections {
 		if s.Name == name {
@@ -67,7 +67,7 @@
 	return false
 }
 
-// Revision returns the revision in force in a state.
+// Revision returns the revision of the declarations in force, 0 if the state has none.
 func Revision(sections []Section) settings.Revision {
 	var s gossip.Status
 	if !Find(sections, "spread", &s) {
--- a/rattantrack/internal/process/doc.go
+++ b/rattantrack/internal/process/doc.go
@@ -1,2 +1,2 @@
-// Package process asks running processes for their state.
+// Package process reads the state of running processes over HTTP.
 package process
--- a/rattantrack/main.go
+++ b/rattantrack/main.go
@@ -1,4 +1,4 @@
-// Command rattantrack is the operators' command line: it reads and asks, and never writes shared state.
+// Command rattantrack is the command line for operators. It reads files and queries processes, and never writes shared state.
 package main
 
 import (
