--- a/router/internal/app/app.go
+++ b/router/internal/app/app.go
@@ -23,7 +23,7 @@
 // idleLinkTimeout is how long an unused link to another process is kept.
 const idleLinkTimeout = 60 * time.Second
 
-// maxDialledLinks bounds the links that a router opens, so that its memory stays within the limit of its VM.
+// maxDialledLinks bounds the links that a router opens, so that its memory stays within the limit for one process.
 const maxDialledLinks = 800
 
 // Router is a router process that sends calls to the side processes of upstreams.
--- a/router/internal/app/direct.go
+++ b/router/internal/app/direct.go
@@ -39,9 +39,9 @@
 
 // Memory and garbage collection of a direct router.
 const (
-	// heapFraction is the part of the process's memory that the Go runtime may use; the kernel's socket buffers need the
-	// rest.
-	heapFraction = 0.7
+	// memoryFraction is the part of the process's memory that the Go runtime may use. Memory outside the runtime, such as
+	// socket buffers, needs the rest.
+	memoryFraction = 0.7
 	// gcPercent lets the heap grow more than the programs' usual setting, which saves processor time. The memory limit
 	// still bounds it.
 	gcPercent = 50
@@ -111,7 +111,7 @@
 		return
 	}
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(heapFraction * float64(mb<<20)))
+	debug.SetMemoryLimit(int64(memoryFraction * float64(mb<<20)))
 }
 
 // connect creates the services and connects them with each other.
--- a/router/internal/sides/dispatch.go
+++ b/router/internal/sides/dispatch.go
@@ -18,7 +18,8 @@
 
 // Limits on attempts.
 const (
-	// firstRetryPause and maxRetryPause bound the random pause before a retry, which doubles with each retry.
+	// firstRetryPause and maxRetryPause are the first and the largest upper bound of the random pause before a retry. The
+	// bound doubles with each retry.
 	firstRetryPause = 20 * time.Millisecond
 	maxRetryPause   = time.Second
 	// maxPrimaryRetries is the smallest retry limit of a call with a key or ticket, whatever its profile allows.
--- a/router/internal/sides/view.go
+++ b/router/internal/sides/view.go
@@ -113,7 +113,7 @@
 	return u.Side, ok && !u.Destroyed
 }
 
-// Declared returns all declared sides of a service, including those that are avoided or leaving.
+// Declared returns the declared sides of a service except destroyed ones. Avoided and leaving sides are included.
 func (v *View) Declared(name settings.ServiceName) *rendezvous.Set {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -123,7 +123,7 @@
 	return &rendezvous.Set{}
 }
 
-// Usable returns the sides of a service that are neither avoided nor leaving, or all declared ones if none is left.
+// Usable returns the declared sides of a service that are neither avoided nor leaving, or all of them if none is left.
 func (v *View) Usable(name settings.ServiceName) *rendezvous.Set {
 	v.mu.Lock()
 	defer v.mu.Unlock()
