--- a/core/ticket/doc.go
+++ b/core/ticket/doc.go
@@ -1,2 +1,3 @@
-// Package ticket issues and checks the tickets that let a caller repeat a call that must run at most once.
+// Package ticket issues and checks idempotency tickets, with which a caller can safely retry a call that must run at
+// most once.
 package ticket
--- a/core/ticket/ticket.go
+++ b/core/ticket/ticket.go
@@ -16,7 +16,7 @@
 	"rattantrack.dev/core/settings"
 )
 
-// Claims is what a ticket says; only the side that issued it can check it.
+// Claims is the content of a ticket; only the side that issued the ticket can verify it.
 type Claims struct {
 	Upstream    settings.UpstreamID
 	Incarnation peer.Incarnation
@@ -27,28 +27,28 @@
 
 const nonceBytes = 16
 
-// MaxBytes bounds the text of a ticket.
+// MaxBytes is the longest text of a ticket in bytes.
 const MaxBytes = 512
 
-// InvalidError reports a ticket that cannot be used.
+// InvalidError reports a ticket that cannot be decoded or is not valid.
 type InvalidError struct {
 	Reason string
 }
 
 func (e *InvalidError) Error() string { return "invalid ticket: " + e.Reason }
 
-// Issuer makes and checks the tickets of one incarnation of a side.
+// Issuer issues and checks the tickets of one incarnation of a side.
 type Issuer struct {
 	upstream    settings.UpstreamID
 	incarnation peer.Incarnation
 	secret      []byte
 }
 
-// NewIssuer returns an issuer with a secret of its own, which dies with the process.
+// NewIssuer returns an issuer with a random secret, which is lost when the process ends.
 func NewIssuer(upstream settings.UpstreamID, incarnation peer.Incarnation) (*Issuer, error) {
 	secret := make([]byte, sha256.Size)
 	if _, err := rand.Read(secret); err != nil {
-		return nil, errors.Wrap(err, "drawing a secret")
+		return nil, errors.Wrap(err, "generating the ticket secret")
 	}
 	return &Issuer{upstream: upstream, incarnation: incarnation, secret: secret}, nil
 }
@@ -57,7 +57,7 @@
 func (i *Issuer) Issue(now clock.Instant) (string, error) {
 	nonce := make([]byte, nonceBytes)
 	if _, err := rand.Read(nonce); err != nil {
-		return "", errors.Wrap(err, "drawing a nonce")
+		return "", errors.Wrap(err, "generating a ticket nonce")
 	}
 	claims := Claims{Upstream: i.upstream, Incarnation: i.incarnation, Issued: now, Nonce: nonce}
 	body, err := msgpack.Marshal(&claims)
@@ -67,7 +67,7 @@
 	return encode(body) + "." + encode(i.sign(body)), nil
 }
 
-// Check reports whether a ticket was issued here and is younger than lifetime.
+// Check returns nil if a ticket was issued by this issuer less than lifetime ago.
 func (i *Issuer) Check(now clock.Instant, text string, lifetime time.Duration) error {
 	claims, body, mac, err := parse(text)
 	if err != nil {
@@ -77,7 +77,7 @@
 		return &InvalidError{Reason: "issued by another incarnation"}
 	}
 	if !hmac.Equal(mac, i.sign(body)) {
-		return &InvalidError{Reason: "not issued here"}
+		return &InvalidError{Reason: "signature mismatch"}
 	}
 	if now.Sub(claims.Issued) >= lifetime {
 		return &InvalidError{Reason: "expired"}
@@ -91,7 +91,8 @@
 	return h.Sum(nil)
 }
 
-// ParseUnverified returns what a ticket says, unchecked, so that a router can send it to the side that issued it.
+// ParseUnverified returns the claims of a ticket without verifying it, so that a router can find the side that
+// issued it.
 func ParseUnverified(text string) (Claims, error) {
 	claims, _, _, err := parse(text)
 	return claims, err
@@ -103,18 +104,18 @@
 	}
 	first, second, ok := strings.Cut(text, ".")
 	if !ok {
-		return claims, nil, nil, &InvalidError{Reason: "not two parts"}
+		return claims, nil, nil, &InvalidError{Reason: "missing the separator between claims and signature"}
 	}
 	body, err = base64.RawURLEncoding.DecodeString(first)
 	if err != nil {
-		return claims, nil, nil, &InvalidError{Reason: "not base64url"}
+		return claims, nil, nil, &InvalidError{Reason: "claims are not base64url"}
 	}
 	mac, err = base64.RawURLEncoding.DecodeString(second)
 	if err != nil {
-		return claims, nil, nil, &InvalidError{Reason: "not base64url"}
+		return claims, nil, nil, &InvalidError{Reason: "signature is not base64url"}
 	}
 	if err := msgpack.Unmarshal(body, &claims); err != nil {
-		return claims, nil, nil, &InvalidError{Reason: "not readable"}
+		return claims, nil, nil, &InvalidError{Reason: "malformed claims"}
 	}
 	return claims, body, mac, nil
 }
--- a/core/ticket/ticket_test.go
+++ b/core/ticket/ticket_test.go
@@ -10,12 +10,12 @@
 	"rattantrack.dev/core/clock"
 )
 
-func TestOnlyTheIssuingIncarnationTakesATicket(t *testing.T) {
+func TestTicketIsValidOnlyForIssuingIncarnation(t *testing.T) {
 	c := qt.New(t)
 	now := clock.Instant(time.Hour)
-	first, err := NewIssuer("desk-1", "life-1")
+	first, err := NewIssuer("desk-1", "incarnation-1")
 	c.Assert(err, qt.IsNil)
-	second, err := NewIssuer("desk-1", "life-2")
+	second, err := NewIssuer("desk-1", "incarnation-2")
 	c.Assert(err, qt.IsNil)
 	text, err := first.Issue(now)
 	c.Assert(err, qt.IsNil)
@@ -30,7 +30,7 @@
 	c.Assert(errors.As(first.Check(now, text+"x", time.Minute), &invalid), qt.IsTrue)
 }
 
-func FuzzRead(f *testing.F) {
+func FuzzParseUnverified(f *testing.F) {
 	f.Add("")
 	f.Add("a.b")
 	f.Add("lKZkZXNrLTE.AAAA")
