--- a/core/outcome/attempts.go
+++ b/core/outcome/attempts.go
@@ -13,79 +13,79 @@
 	Attempt peer.AttemptID
 }
 
-// maxAttempts bounds the attempts that one side remembers.
+// maxAttempts bounds the attempts that one side records.
 const maxAttempts = 65536
 
-// attempt is what a side knows of one attempt.
+// attempt is the record of one attempt.
 type attempt struct {
-	started bool
-	never   bool
-	// until is when the attempt's own deadline keeps it from starting anyway.
-	until clock.Instant
+	started   bool
+	withdrawn bool
+	// expires is the attempt's deadline, after which it cannot start and the record is not needed.
+	expires clock.Instant
 }
 
-// Attempts remembers which attempts have started and which must never start; its zero value is empty.
+// Attempts records which attempts have started and which are withdrawn; its zero value is empty.
 type Attempts struct {
-	known map[AttemptKey]attempt
-	sweep clock.Instant
+	attempts  map[AttemptKey]attempt
+	nextSweep clock.Instant
 }
 
-// Withdraw forbids an attempt that has not started; it reports whether the attempt has started, and whether
-// that answer can be relied on.
-func (a *Attempts) Withdraw(now clock.Instant, key AttemptKey, left time.Duration) (started, certain bool) {
+// Withdraw forbids the start of an attempt that has not started. It reports whether the attempt has started, and
+// whether that answer is certain: a full table cannot record the withdrawal.
+func (a *Attempts) Withdraw(now clock.Instant, key AttemptKey, remaining time.Duration) (started, certain bool) {
 	a.expire(now)
-	have := a.known[key]
+	have := a.attempts[key]
 	if have.started {
 		return true, true
 	}
-	if !have.never && len(a.known) >= maxAttempts {
+	if !have.withdrawn && len(a.attempts) >= maxAttempts {
 		return false, false
 	}
-	a.put(key, attempt{never: true, until: now.Add(left)})
+	a.put(key, attempt{withdrawn: true, expires: now.Add(remaining)})
 	return false, true
 }
 
-// Start notes that an attempt is being handed to the upstream; it reports false when it must not be.
-func (a *Attempts) Start(now clock.Instant, key AttemptKey, left time.Duration) bool {
+// Start records that an attempt is about to be sent to the upstream; it reports false when it must not be sent.
+func (a *Attempts) Start(now clock.Instant, key AttemptKey, remaining time.Duration) bool {
 	a.expire(now)
-	have, seen := a.known[key]
-	if have.never || have.started {
+	have, seen := a.attempts[key]
+	if have.withdrawn || have.started {
 		return false
 	}
-	if !seen && len(a.known) >= maxAttempts {
+	if !seen && len(a.attempts) >= maxAttempts {
 		return false
 	}
-	a.put(key, attempt{started: true, until: now.Add(left)})
+	a.put(key, attempt{started: true, expires: now.Add(remaining)})
 	return true
 }
 
 // Seen reports whether an attempt has been withdrawn or started.
 func (a *Attempts) Seen(key AttemptKey) bool {
-	have := a.known[key]
-	return have.never || have.started
+	have := a.attempts[key]
+	return have.withdrawn || have.started
 }
 
-// Len returns the number of attempts remembered.
-func (a *Attempts) Len() int { return len(a.known) }
+// Len returns the number of recorded attempts.
+func (a *Attempts) Len() int { return len(a.attempts) }
 
 func (a *Attempts) put(key AttemptKey, value attempt) {
-	if a.known == nil {
-		a.known = make(map[AttemptKey]attempt)
+	if a.attempts == nil {
+		a.attempts = make(map[AttemptKey]attempt)
 	}
-	a.known[key] = value
+	a.attempts[key] = value
 }
 
-// sweepInterval spaces the searches for attempts whose deadline has passed.
+// sweepInterval is the shortest time between two searches for expired entries.
 const sweepInterval = time.Second
 
 func (a *Attempts) expire(now clock.Instant) {
-	if now.Before(a.sweep) {
+	if now.Before(a.nextSweep) {
 		return
 	}
-	a.sweep = now.Add(sweepInterval)
-	for key, have := range a.known {
-		if have.until.Before(now) {
-			delete(a.known, key)
+	a.nextSweep = now.Add(sweepInterval)
+	for key, have := range a.attempts {
+		if have.expires.Before(now) {
+			delete(a.attempts, key)
 		}
 	}
 }
--- a/core/outcome/doc.go
+++ b/core/outcome/doc.go
@@ -1,3 +1,3 @@
-// Package outcome decides what a side may run and what it may say of it: attempts that must never start,
-// idempotency keys that run at most once, and the homes that can vouch for a key.
+// Package outcome decides what a side may run and which outcome it may report: it withdraws attempts, runs an
+// idempotency key at most once, and confirms as a key's primary that the key has no earlier run.
 package outcome
--- a/core/outcome/keys.go
+++ b/core/outcome/keys.go
@@ -7,41 +7,41 @@
 	"rattantrack.dev/core/peer"
 )
 
-// State is how far the one run of a key has come.
+// State is the progress of the single run of a key.
 type State uint8
 
 // The states of a key.
 const (
 	StateRunning State = iota + 1
 	StateDone
-	// StateLost means that the run started and its result never came.
+	// StateLost means that the run may have started and its result is not known.
 	StateLost
 )
 
-// Answer is the recorded answer of a run.
+// Answer is the recorded response of a run.
 type Answer struct {
 	Status  int
 	Headers []peer.Header
 	Body    []byte
 }
 
-// Record is what a side remembers of one key or ticket.
+// Record is a side's record of one key or ticket.
 type Record struct {
-	Key     string
-	Body    uint64
-	State   State
-	Answer  Answer
-	expires clock.Instant
-	done    chan struct{}
+	Key        string
+	BodyDigest uint64
+	State      State
+	Answer     Answer
+	expires    clock.Instant
+	done       chan struct{}
 }
 
-// Done is closed when the run has ended.
+// Done returns a channel that is closed when the run has ended.
 func (r *Record) Done() <-chan struct{} { return r.done }
 
-// Step is what to do with a submitted key.
+// Step is the action to take for a submitted key.
 type Step int
 
-// The steps.
+// The actions for a submitted key.
 const (
 	StepRun Step = iota
 	StepReplay
@@ -55,44 +55,45 @@
 const (
 	DefaultMaxRecords     = 200_000
 	DefaultMaxAnswerBytes = 32 << 20
-	// MaxAnswerBytes is the longest answer kept for replay.
+	// MaxAnswerBytes is the longest response body kept for replay.
 	MaxAnswerBytes = 256 << 10
 )
 
-// Keys is the table of keys of one side; its zero value is empty.
+// Keys is the key table of one side; its zero value is empty.
 type Keys struct {
 	MaxRecords     int
 	MaxAnswerBytes int
 
-	records map[string]*Record
-	bytes   int
-	sweep   clock.Instant
+	records   map[string]*Record
+	bytes     int
+	nextSweep clock.Instant
 }
 
-// Begin looks up a key and starts its one run if there was none. A full table refuses new keys and forgets none.
-func (k *Keys) Begin(now clock.Instant, key string, body uint64, lifetime time.Duration) (*Record, Step) {
+// Begin looks up a key and records the start of its single run if there was none. A full table refuses new keys
+// rather than evict a live one, which would allow a second run.
+func (k *Keys) Begin(now clock.Instant, key string, bodyDigest uint64, lifetime time.Duration) (*Record, Step) {
 	k.expire(now)
 	if r := k.records[key]; r != nil {
-		return r, stepFor(r, body)
+		return r, stepFor(r, bodyDigest)
 	}
 	if k.full() {
 		return nil, StepTableFull
 	}
-	r := &Record{Key: key, Body: body, State: StateRunning, expires: now.Add(lifetime), done: make(chan struct{})}
+	r := &Record{Key: key, BodyDigest: bodyDigest, State: StateRunning, expires: now.Add(lifetime), done: make(chan struct{})}
 	k.put(r)
 	return r, StepRun
 }
 
-// Lookup returns the record of a key and what a submission with this body would do.
-func (k *Keys) Lookup(key string, body uint64) (*Record, Step) {
+// Lookup returns the record of a key, if there is one, and the step for a submission with this body; it starts no run.
+func (k *Keys) Lookup(key string, bodyDigest uint64) (*Record, Step) {
 	if r := k.records[key]; r != nil {
-		return r, stepFor(r, body)
+		return r, stepFor(r, bodyDigest)
 	}
 	return nil, StepRun
 }
 
-func stepFor(r *Record, body uint64) Step {
-	if r.Body != body {
+func stepFor(r *Record, bodyDigest uint64) Step {
+	if r.BodyDigest != bodyDigest {
 		return StepBodyDiffers
 	}
 	switch r.State {
@@ -104,10 +105,10 @@
 	return StepLost
 }
 
-// Finish records the answer of a run, for lifetime from now.
+// Finish records the answer of a run and keeps it for lifetime from now.
 func (k *Keys) Finish(now clock.Instant, r *Record, a Answer, lifetime time.Duration) {
 	if len(a.Body) > MaxAnswerBytes {
-		// The call must still not run again, but its answer is too long to keep.
+		// The answer is too long to keep, but the key must still not run again.
 		k.MarkLost(now, r, lifetime)
 		return
 	}
@@ -116,7 +117,7 @@
 	k.end(now, r, StateDone, lifetime)
 }
 
-// MarkLost records that the result of a run is not known.
+// MarkLost records that the result of a run is not known and keeps the record for lifetime from now.
 func (k *Keys) MarkLost(now clock.Instant, r *Record, lifetime time.Duration) {
 	k.end(now, r, StateLost, lifetime)
 }
@@ -127,38 +128,39 @@
 	close(r.done)
 }
 
-// Undo forgets a run that was proved never to have been handed over.
+// Undo removes the record of a run of which nothing was sent to the upstream.
 func (k *Keys) Undo(r *Record) {
 	delete(k.records, r.Key)
 	r.State = StateLost
 	close(r.done)
 }
 
-// Import takes in a record from another side; a record that is here already wins unless the new one knows a result.
+// Import adds a record from another side. An existing record stays, except that a record without a result is
+// replaced by one that has the result.
 func (k *Keys) Import(now clock.Instant, in peer.KeyRecord) {
 	have := k.records[in.Key]
 	state := State(in.State)
 	if state == StateRunning {
-		// The run goes on elsewhere, where its result may be lost.
+		// The run is in progress at the other side, and its result may never arrive here.
 		state = StateLost
 	}
 	if have != nil && (have.State == StateDone || have.State == StateRunning || state != StateDone) {
 		return
 	}
 	r := &Record{
-		Key:     in.Key,
-		Body:    in.BodyDigest,
-		State:   state,
-		Answer:  Answer{Status: in.Status, Headers: in.Headers, Body: in.Answer},
-		expires: now.Add(in.Remaining),
-		done:    make(chan struct{}),
+		Key:        in.Key,
+		BodyDigest: in.BodyDigest,
+		State:      state,
+		Answer:     Answer{Status: in.Status, Headers: in.Headers, Body: in.Answer},
+		expires:    now.Add(in.Remaining),
+		done:       make(chan struct{}),
 	}
 	close(r.done)
 	k.bytes += len(in.Answer)
 	k.put(r)
 }
 
-// Export returns the records that keep selects.
+// Export returns the records whose keys keep selects.
 func (k *Keys) Export(now clock.Instant, keep func(key string) bool) []peer.KeyRecord {
 	k.expire(now)
 	var out []peer.KeyRecord
@@ -173,7 +175,7 @@
 func (r *Record) export(now clock.Instant) peer.KeyRecord {
 	return peer.KeyRecord{
 		Key:        r.Key,
-		BodyDigest: r.Body,
+		BodyDigest: r.BodyDigest,
 		State:      uint8(r.State),
 		Status:     r.Answer.Status,
 		Headers:    r.Answer.Headers,
@@ -182,10 +184,10 @@
 	}
 }
 
-// Len returns the number of keys remembered.
+// Len returns the number of recorded keys.
 func (k *Keys) Len() int { return len(k.records) }
 
-// AnswerBytes returns the size of the recorded answers.
+// AnswerBytes returns the size of the recorded response bodies in bytes.
 func (k *Keys) AnswerBytes() int { return k.bytes }
 
 func (k *Keys) full() bool {
@@ -208,10 +210,10 @@
 }
 
 func (k *Keys) expire(now clock.Instant) {
-	if now.Before(k.sweep) {
+	if now.Before(k.nextSweep) {
 		return
 	}
-	k.sweep = now.Add(sweepInterval)
+	k.nextSweep = now.Add(sweepInterval)
 	for key, r := range k.records {
 		if r.State == StateRunning || !r.expires.Before(now) {
 			continue
--- a/side/internal/router/door.go
+++ b/side/internal/router/door.go
@@ -114,10 +114,10 @@
 // homesChange tells the homes what changed of this service's declared upstreams.
 func (d *Server) homesChange(before *settings.Declarations, c revision.Change) outcome.Change {
 	change := outcome.Change{
-		Revision:  c.Version.Revision,
-		Set:       d.set,
-		Destroyed: c.Fleet.DestroyedOf(d.name),
-		Exact:     c.Consecutive,
+		Revision:    c.Version.Revision,
+		Set:         d.set,
+		Destroyed:   c.Fleet.DestroyedOf(d.name),
+		Consecutive: c.Consecutive,
 	}
 	for _, doc := range c.Documents {
 		id, ok := settings.UpstreamOf(doc.Key)
--- a/side/internal/router/handover.go
+++ b/side/internal/router/handover.go
@@ -79,7 +79,7 @@
 	// Nobody between the predecessor and this process can have run a key: that takes a handover, and this is
 	// the only copy, or a key's lifetime.
 	if h.Covered && h.Age < d.service.KeyLifetime {
-		d.homes.Reclaim()
+		d.homes.MarkRecovered()
 	}
 }
 
