--- a/side/internal/app/app.go
+++ b/side/internal/app/app.go
@@ -21,8 +21,8 @@
 	"rattantrack.dev/side/internal/upstream"
 )
 
-// idleLinkTime is how long an unused link is kept; routers end theirs earlier.
-const idleLinkTime = 2 * time.Minute
+// idleLinkTimeout is how long an unused link is kept; routers close theirs earlier.
+const idleLinkTimeout = 2 * time.Minute
 
 // Side is one side process.
 type Side struct {
@@ -31,9 +31,9 @@
 	metrics  *operator.Metrics
 	store    *revision.Store
 	endpoint *peer.Endpoint
-	door     *router.Server
+	server   *router.Server
 	sides    *sides.Service
-	spread   *gossip.Service
+	gossip   *gossip.Service
 	client   *upstream.Client
 	started  atomic.Bool
 }
@@ -55,7 +55,7 @@
 	}
 	s := &Side{cfg: cfg, log: l, metrics: operator.NewMetrics("side"), store: &revision.Store{}}
 	s.client = upstream.New(cfg.URL)
-	s.door = &router.Server{
+	s.server = &router.Server{
 		Self:     cfg.Upstream,
 		Clock:    clock.Boot{},
 		Upstream: s.client,
@@ -72,9 +72,9 @@
 		OnReject: func(err error) { l.Warn("peer turned away", "error", err) },
 	}
 	prefixes := sides.NewPrefixTransfer(s.endpoint, s.client)
-	s.door.Prefixes = prefixes
-	s.sides = &sides.Service{Admission: s.door, Dialer: s.endpoint, Prefixes: prefixes}
-	s.spread = &gossip.Service{Store: s.store, Dialer: s.endpoint, Log: l, Candidates: s.candidates}
+	s.server.Prefixes = prefixes
+	s.sides = &sides.Service{Admission: s.server, Dialer: s.endpoint, Prefixes: prefixes}
+	s.gossip = &gossip.Service{Store: s.store, Dialer: s.endpoint, Log: l, Candidates: s.candidates}
 	return s, nil
 }
 
@@ -91,7 +91,7 @@
 	}
 }
 
-// candidates returns the processes that this one may get declarations from.
+// candidates returns the addresses of the processes from which this one may get declarations.
 func (s *Side) candidates() []string {
 	_, fleet := s.store.Current()
 	var list []string
@@ -103,9 +103,9 @@
 	return list
 }
 
-// Serve gives a peer's message to the service that answers it.
+// Serve passes a peer's message to the service that handles it.
 func (s *Side) Serve(ctx context.Context, st *peer.Stream, m peer.Message) {
-	if s.door.Serve(ctx, st, m) || s.sides.Serve(ctx, st, m) || s.spread.Serve(ctx, st, m) {
+	if s.server.Serve(ctx, st, m) || s.sides.Serve(ctx, st, m) || s.gossip.Serve(ctx, st, m) {
 		return
 	}
 	s.log.Warn("unexpected message", "kind", m.Kind(), "peer", st.Link().Remote().ID)
@@ -115,17 +115,17 @@
 func (s *Side) Run(ctx context.Context) error {
 	defer func() { _ = s.metrics.Close() }()
 	defer s.client.Close()
-	s.store.Watch(s.door.ApplyDeclarations)
+	s.store.Watch(s.server.ApplyDeclarations)
 	k := &kernel.Kernel{}
 	k.Add(
 		&operator.Server{
 			Address: s.cfg.Operator,
 			Metrics: s.metrics,
 			Ready:   s.ready,
-			Dumpers: []operator.Dumper{s.door, s.spread, &operator.Links{Endpoint: s.endpoint}},
+			Dumpers: []operator.Dumper{s.server, s.gossip, &operator.Links{Endpoint: s.endpoint}},
 		},
-		&peer.Listener{Address: s.cfg.Peer, Endpoint: s.endpoint, IdleTimeout: idleLinkTime},
-		s.spread,
+		&peer.Listener{Address: s.cfg.Peer, Endpoint: s.endpoint, IdleTimeout: idleLinkTimeout},
+		s.gossip,
 		s.sides,
 		&drain{side: s},
 	)
@@ -133,9 +133,9 @@
 }
 
 // ready reports whether all services have started and the side takes work.
-func (s *Side) ready() bool { return s.started.Load() && !s.door.Leaving() }
+func (s *Side) ready() bool { return s.started.Load() && !s.server.Leaving() }
 
-// drain is the last service to start and so the first to stop: it lets the work end before the rest goes.
+// drain is the last service to start and so the first to stop: it lets the work end before the other services stop.
 type drain struct {
 	side *Side
 }
@@ -143,33 +143,33 @@
 // String returns the service's name.
 func (d *drain) String() string { return "drain" }
 
-// leavingTime bounds the notices and the handover of a stopping side.
-const leavingTime = 2 * time.Second
+// leavingTimeout bounds the leaving notices and, separately, the handover of a stopping side.
+const leavingTimeout = 2 * time.Second
 
-// lingerTime is how long a stopping side at least answers after its notice.
+// lingerTime is the shortest time for which a stopping side still answers after its notice.
 const lingerTime = 500 * time.Millisecond
 
-// Run waits for ctx and then takes the side out of service.
+// Run waits for ctx to end and then drains the side and hands over its records.
 func (d *drain) Run(ctx context.Context, ready func()) error {
 	ready()
 	d.side.started.Store(true)
 	d.side.log.Info("side ready", "peer", d.side.cfg.Peer)
 	<-ctx.Done()
 	d.side.log.Info("side leaving")
-	d.side.door.Leave()
+	d.side.server.Leave()
 	noticed := time.Now()
-	notice, cancelNotice := context.WithTimeout(context.Background(), leavingTime)
+	noticeCtx, cancelNotice := context.WithTimeout(context.Background(), leavingTimeout)
 	defer cancelNotice()
 	for _, l := range d.side.endpoint.Links() {
-		_ = peer.Notify(notice, l, &peer.Leaving{})
+		_ = peer.Notify(noticeCtx, l, &peer.Leaving{})
 	}
-	work, cancelWork := context.WithTimeout(context.Background(), d.side.cfg.DrainTime)
+	workCtx, cancelWork := context.WithTimeout(context.Background(), d.side.cfg.DrainTime)
 	defer cancelWork()
-	d.side.door.Drain(work)
-	last, cancelLast := context.WithTimeout(context.Background(), leavingTime)
-	defer cancelLast()
-	d.side.sides.HandOver(last)
-	// What routers sent before they had the notice is refused, and the refusal must reach them.
+	d.side.server.Drain(workCtx)
+	handoverCtx, cancelHandover := context.WithTimeout(context.Background(), leavingTimeout)
+	defer cancelHandover()
+	d.side.sides.HandOver(handoverCtx)
+	// Attempts sent before a router received the notice are refused, and the refusals must still be delivered.
 	time.Sleep(time.Until(noticed.Add(lingerTime)))
 	d.side.log.Info("side drained")
 	return nil
--- a/side/internal/app/doc.go
+++ b/side/internal/app/doc.go
@@ -1,2 +1,2 @@
-// Package app puts a side process together out of its services.
+// Package app assembles a side process from its services.
 package app
--- a/side/internal/router/doc.go
+++ b/side/internal/router/doc.go
@@ -1,2 +1,3 @@
-// Package router serves routers: it admits, queues, runs and cancels what they submit, and vouches for its outcome.
+// Package router serves the routers: it admits, queues, runs and cancels the attempts that they submit, and reports
+// their outcomes.
 package router
--- a/side/internal/router/dump.go
+++ b/side/internal/router/dump.go
@@ -6,7 +6,7 @@
 	"rattantrack.dev/core/settings"
 )
 
-// Status is what the door shows of itself.
+// Status is the server's state in the operator's dump.
 type Status struct {
 	Upstream    settings.UpstreamID  `json:"upstream"`
 	Service     settings.ServiceName `json:"service"`
@@ -26,34 +26,34 @@
 	Prefixes    int                  `json:"prefix_chats"`
 }
 
-// String returns the name under which the door is dumped.
-func (d *Server) String() string { return "door" }
+// String returns the name of the server in dumps and logs.
+func (s *Server) String() string { return "door" }
 
-// Dump returns the door's state.
-func (d *Server) Dump() any {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	now := d.Clock.Now()
-	m, known := d.admission.Estimator.Mean(now)
-	s := Status{
-		Upstream:    d.Self,
-		Service:     d.name,
-		Revision:    d.revision,
-		Leaving:     d.isLeaving(now),
-		Load:        d.admission.Load(),
-		Mean:        m,
+// Dump returns the server's state.
+func (s *Server) Dump() any {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.Clock.Now()
+	mean, known := s.admission.Estimator.Mean(now)
+	status := Status{
+		Upstream:    s.Self,
+		Service:     s.serviceName,
+		Revision:    s.revision,
+		Leaving:     s.isLeaving(now),
+		Load:        s.admission.Load(),
+		Mean:        mean,
 		MeanKnown:   known,
-		Running:     d.scheduler.Running(),
-		Queued:      d.scheduler.Queued(),
-		Attempts:    d.attempts.Len(),
-		Keys:        d.keys.Len(),
-		KeyBytes:    d.keys.AnswerBytes(),
-		KeysCovered: d.homes.Covered(now),
-		Directory:   d.admission.CacheOwners.Len(),
-		Prefixes:    d.admission.Prefixes.Len(),
+		Running:     s.scheduler.Running(),
+		Queued:      s.scheduler.Queued(),
+		Attempts:    s.attempts.Len(),
+		Keys:        s.keys.Len(),
+		KeyBytes:    s.keys.AnswerBytes(),
+		KeysCovered: s.primaries.Covered(now),
+		Directory:   s.admission.CacheOwners.Len(),
+		Prefixes:    s.admission.Prefixes.Len(),
 	}
 	if known {
-		s.MeanAgeMS = int64(d.admission.Estimator.Age(now) / time.Millisecond)
+		status.MeanAgeMS = int64(s.admission.Estimator.Age(now) / time.Millisecond)
 	}
-	return s
+	return status
 }
--- a/side/internal/router/handover.go
+++ b/side/internal/router/handover.go
@@ -10,146 +10,146 @@
 	"rattantrack.dev/core/settings"
 )
 
-// ticketMark tells tickets from callers' own keys: it ends a ticket's first part and stands in no key.
-const ticketMark = "."
+// ticketSeparator distinguishes tickets from callers' own keys: it separates the parts of a ticket and occurs in no key.
+const ticketSeparator = "."
 
-// Bounds of what is kept for successors.
+// Bounds of the handovers kept for successors.
 const (
-	// maxHandovers bounds the stopped sides whose records are kept here.
+	// maxHandovers bounds the number of stopped sides whose records are kept here.
 	maxHandovers = 16
-	// freshTime is how long a new process asks for what its predecessor left.
-	freshTime = 30 * time.Second
+	// predecessorClaimTime is how long a new process claims its predecessor's records.
+	predecessorClaimTime = 30 * time.Second
 )
 
-// keptHandover is what a stopped side left, and when it came.
+// keptHandover is the handover of a stopped side and the instant at which it was received.
 type keptHandover struct {
-	handover *peer.Handover
-	at       clock.Instant
+	handover   *peer.Handover
+	receivedAt clock.Instant
 }
 
-// PendingClaim is a claim and the address of the side to ask.
+// PendingClaim is a claim and the address of the side to send it to.
 type PendingClaim struct {
 	Claim   *peer.Claim
 	Address string
 }
 
-// PendingClaims returns the questions whose answers are missing.
-func (d *Server) PendingClaims() []PendingClaim {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.fleet == nil || d.service.Kind != settings.KindPlain {
+// PendingClaims returns the claims that have not been answered.
+func (s *Server) PendingClaims() []PendingClaim {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.declarations == nil || s.service.Kind != settings.KindPlain {
 		return nil
 	}
-	now := d.Clock.Now()
-	fresh := now.Sub(d.Started) < freshTime
+	now := s.Clock.Now()
+	restarted := now.Sub(s.Started) < predecessorClaimTime
 	var list []PendingClaim
-	for _, w := range d.homes.MissingAcks(now) {
-		address, ok := d.lastAddress(w.From)
+	for _, ack := range s.primaries.MissingAcks(now) {
+		address, ok := s.lastAddress(ack.From)
 		if !ok {
 			continue
 		}
-		claim := &peer.Claim{From: d.Self, Service: d.name, Ended: w.Ended, Restarted: fresh}
+		claim := &peer.Claim{From: s.Self, Service: s.serviceName, Ended: ack.Ended, Restarted: restarted}
 		list = append(list, PendingClaim{Claim: claim, Address: address})
 	}
 	return list
 }
 
-// lastAddress returns where a side was last declared to be; the caller holds the lock. A side that was taken out of the
-// declarations must still be asked.
-func (d *Server) lastAddress(id settings.UpstreamID) (string, bool) {
-	if u, ok := d.fleet.Upstreams[id]; ok {
+// lastAddress returns the latest declared address of a side; the caller holds the lock. A side that was removed from the
+// declarations must still receive claims.
+func (s *Server) lastAddress(id settings.UpstreamID) (string, bool) {
+	if u, ok := s.declarations.Upstreams[id]; ok {
 		return u.Side, !u.Destroyed
 	}
-	address, ok := d.former[id]
+	address, ok := s.previousSides[id]
 	return address, ok
 }
 
-// ApplyHandover takes in another side's answer to a claim.
-func (d *Server) ApplyHandover(h *peer.Handover) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	now := d.Clock.Now()
+// ApplyHandover imports the records of another side's answer to a claim.
+func (s *Server) ApplyHandover(h *peer.Handover) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.Clock.Now()
 	for _, r := range h.Records {
-		d.keys.Import(now, r)
+		s.keys.Import(now, r)
 	}
 	if !h.Complete {
-		d.homes.AddReleaseAck(now, h.From, h.Ended, h.Revision, h.Covered)
+		s.primaries.AddReleaseAck(now, h.From, h.Ended, h.Revision, h.Covered)
 		return
 	}
-	// Nobody between the predecessor and this process can have run a key: that takes a handover, and this is
-	// the only copy, or a key's lifetime.
-	if h.Covered && h.Age < d.service.KeyLifetime {
-		d.homes.MarkRecovered()
+	// No process between the predecessor and this one can have run a key: that would take this handover, of which
+	// there is only one copy, or an uptime of a key's lifetime.
+	if h.Covered && h.Age < s.service.KeyLifetime {
+		s.primaries.MarkRecovered()
 	}
 }
 
-// AnswerClaim hands over the records that a claiming side is now home of; it is nil while that cannot be done yet.
-func (d *Server) AnswerClaim(c *peer.Claim) []*peer.Handover {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if c.Service != d.name || d.revision < c.Ended {
+// AnswerClaim returns the handovers for a claiming side, or nil while they are not available yet.
+func (s *Server) AnswerClaim(c *peer.Claim) []*peer.Handover {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if c.Service != s.serviceName || s.revision < c.Ended {
 		return nil
 	}
-	now := d.Clock.Now()
-	records := d.keys.Export(now, func(key string) bool { return d.belongsTo(key, c.From) })
+	now := s.Clock.Now()
+	records := s.keys.Export(now, func(key string) bool { return s.belongsTo(key, c.From) })
 	for _, r := range records {
 		if outcome.State(r.State) == outcome.StateRunning {
-			// The claim comes again, and then the result is known.
+			// The side repeats its claim, which is answered once the result is known.
 			return nil
 		}
 	}
 	answers := []*peer.Handover{{
-		From:     d.Self,
-		Service:  d.name,
+		From:     s.Self,
+		Service:  s.serviceName,
 		Ended:    c.Ended,
-		Revision: d.revision,
-		Covered:  d.homes.CoveredBefore(now, c.Ended),
+		Revision: s.revision,
+		Covered:  s.primaries.CoveredBefore(now, c.Ended),
 		Records:  records,
 	}}
-	if kept, ok := d.handovers[c.From]; ok && c.Restarted {
-		delete(d.handovers, c.From)
-		kept.handover.Age = now.Sub(kept.at)
+	if kept, ok := s.handovers[c.From]; ok && c.Restarted {
+		delete(s.handovers, c.From)
+		kept.handover.Age = now.Sub(kept.receivedAt)
 		answers = append(answers, kept.handover)
 	}
 	return answers
 }
 
-// belongsTo reports whether a caller's key has the given home; the caller holds the lock.
-func (d *Server) belongsTo(key string, side settings.UpstreamID) bool {
-	if strings.Contains(key, ticketMark) {
+// belongsTo reports whether a caller's key has the given primary; the caller holds the lock.
+func (s *Server) belongsTo(key string, side settings.UpstreamID) bool {
+	if strings.Contains(key, ticketSeparator) {
 		return false
 	}
-	home, ok := d.homes.Primary(key)
-	return ok && home == side
+	primary, ok := s.primaries.Primary(key)
+	return ok && primary == side
 }
 
-// Handover returns what to leave with another side when this one has stopped all work.
-func (d *Server) Handover() *peer.Handover {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.service.Kind != settings.KindPlain {
+// Handover returns the records to leave with another side once this one has stopped all work.
+func (s *Server) Handover() *peer.Handover {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.service.Kind != settings.KindPlain {
 		return nil
 	}
-	now := d.Clock.Now()
+	now := s.Clock.Now()
 	return &peer.Handover{
-		From:     d.Self,
-		Service:  d.name,
-		Revision: d.revision,
-		Covered:  d.homes.Covered(now),
+		From:     s.Self,
+		Service:  s.serviceName,
+		Revision: s.revision,
+		Covered:  s.primaries.Covered(now),
 		Complete: true,
-		Records:  d.keys.Export(now, func(key string) bool { return !strings.Contains(key, ticketMark) }),
+		Records:  s.keys.Export(now, func(key string) bool { return !strings.Contains(key, ticketSeparator) }),
 	}
 }
 
-// KeepHandover holds another side's handover until its successor claims it.
-func (d *Server) KeepHandover(h *peer.Handover) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if !h.Complete || h.Service != d.name || len(d.handovers) >= maxHandovers {
+// KeepHandover keeps another side's handover until that side's successor claims it.
+func (s *Server) KeepHandover(h *peer.Handover) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !h.Complete || h.Service != s.serviceName || len(s.handovers) >= maxHandovers {
 		return
 	}
-	if d.handovers == nil {
-		d.handovers = make(map[settings.UpstreamID]keptHandover)
+	if s.handovers == nil {
+		s.handovers = make(map[settings.UpstreamID]keptHandover)
 	}
-	d.handovers[h.From] = keptHandover{handover: h, at: d.Clock.Now()}
+	s.handovers[h.From] = keptHandover{handover: h, receivedAt: s.Clock.Now()}
 }
--- a/side/internal/router/job.go
+++ b/side/internal/router/job.go
@@ -13,23 +13,23 @@
 	"rattantrack.dev/core/settings"
 )
 
-// job is one attempt on its way through the door.
+// job is one submitted attempt.
 type job struct {
 	submit   *peer.Submit
 	profile  settings.Profile
 	deadline clock.Instant
-	verdict  admission.Decision
+	decision admission.Decision
 	item     *fairqueue.Item
 	record   *outcome.Record
 	slot     chan struct{}
-	// ctx ends the run; for calls that may not be repeated a router that went away does not end it.
+	// ctx bounds the run; a router's disconnect does not cancel it for calls that may not be repeated.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// moveTo names the side that should go on with the answer.
+	// moveTo names the side that should continue the answer.
 	moveTo  settings.UpstreamID
 	answer  outcome.Answer
 	chunks  atomic.Uint32
-	sink    error
+	sinkErr error
 	stopped bool
 }
 
@@ -37,7 +37,7 @@
 	return outcome.AttemptKey{Request: j.submit.Request, Attempt: j.submit.Attempt}
 }
 
-// key returns the key under which the call runs at most once, or "".
+// key returns the ticket or key under which the call runs at most once, or "".
 func (j *job) key() string {
 	if j.submit.Ticket != "" {
 		return j.submit.Ticket
@@ -45,20 +45,20 @@
 	return j.submit.Key
 }
 
-// cut ends the job's run.
-func (j *job) cut() {
+// stop cancels the job.
+func (j *job) stop() {
 	j.stopped = true
 	j.cancel()
 }
 
-// refusal is why a submission is not run.
+// refusal is the reason why a submission is not run.
 type refusal struct {
 	code       peer.RefuseCode
 	keyNotRun  bool
 	next       []settings.UpstreamID
 	retryAfter time.Duration
 	load       settings.Tokens
-	holder     settings.UpstreamID
+	cacheOwner settings.UpstreamID
 }
 
 func (r *refusal) message() *peer.Refuse {
@@ -67,7 +67,7 @@
 		KeyNotRun:  r.keyNotRun,
 		Next:       r.next,
 		RetryAfter: r.retryAfter,
-		CacheOwner: r.holder,
+		CacheOwner: r.cacheOwner,
 		Load:       float32(r.load),
 	}
 }
--- a/side/internal/router/prefix.go
+++ b/side/internal/router/prefix.go
@@ -7,35 +7,35 @@
 	"rattantrack.dev/core/settings"
 )
 
-// fetchLimit bounds the wait for a prefix; without it the engine reads the prompt again.
-const fetchLimit = 2 * time.Second
+// fetchTimeout bounds the wait for a prefix; without the prefix the engine prefills the prompt again.
+const fetchTimeout = 2 * time.Second
 
-// fetchPrefix brings a job's prefix from the side that holds it, and corrects the job's charge by what is missing.
-func (d *Server) fetchPrefix(j *job) {
-	holder := j.verdict.ImportFrom
-	if holder == "" {
+// fetchPrefix fetches a job's prefix from the side that has it cached, and adds missing tokens to the job's charge.
+func (s *Server) fetchPrefix(j *job) {
+	owner := j.decision.ImportFrom
+	if owner == "" {
 		return
 	}
-	address, ok := d.address(holder)
-	var got settings.Tokens
+	address, ok := s.address(owner)
+	var imported settings.Tokens
 	if ok {
-		ctx, cancel := context.WithTimeout(j.ctx, fetchLimit)
+		ctx, cancel := context.WithTimeout(j.ctx, fetchTimeout)
 		defer cancel()
 		var err error
-		got, err = d.Prefixes.Fetch(ctx, address, j.submit.Chat)
+		imported, err = s.Prefixes.Fetch(ctx, address, j.submit.Chat)
 		if err != nil {
-			d.Log.Debug("fetching a prefix", "request", j.submit.Request, "from", holder, "error", err)
+			s.Log.Debug("fetching a prefix", "request", j.submit.Request, "from", owner, "error", err)
 		}
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.admission.RecordMissingImport(&j.verdict, max(0, j.submit.PromptTokens-got))
-	d.Scope.Counter("prefix_tokens_imported").Inc(int64(got))
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.admission.RecordMissingImport(&j.decision, max(0, j.submit.PromptTokens-imported))
+	s.Scope.Counter("prefix_tokens_imported").Inc(int64(imported))
 }
 
-func (d *Server) address(id settings.UpstreamID) (string, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	u, ok := d.fleet.Upstreams[id]
+func (s *Server) address(id settings.UpstreamID) (string, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	u, ok := s.declarations.Upstreams[id]
 	return u.Side, ok && !u.Destroyed
 }
--- a/side/internal/router/run.go
+++ b/side/internal/router/run.go
@@ -12,32 +12,32 @@
 	"rattantrack.dev/side/internal/upstream"
 )
 
-// run hands a job to the upstream and passes the answer on.
-func (d *Server) run(ctx context.Context, st *peer.Stream, j *job) {
-	call, err := d.call(j)
-	if err != nil || !d.handOver(j) {
-		d.abandon(j)
-		_ = st.Send(ctx, j.refusal(peer.RefuseCancelled))
+// run sends a job to the upstream and forwards the answer.
+func (s *Server) run(ctx context.Context, st *peer.Stream, j *job) {
+	call, err := s.call(j)
+	if err != nil || !s.markStarted(j) {
+		s.abandon(j)
+		_ = st.Send(ctx, j.refuseMessage(peer.RefuseCancelled))
 		return
 	}
-	sink := &jobSink{door: d, job: j, ctx: ctx, stream: st}
-	usage, err := d.Upstream.Run(j.ctx, call, sink)
-	var unsent *upstream.NotSentError
-	if errors.As(err, &unsent) {
-		d.abandon(j)
-		d.Log.Warn("upstream unreachable", "request", j.submit.Request, "error", err)
-		_ = st.Send(ctx, j.refusal(peer.RefuseUpstream))
+	sink := &jobSink{server: s, job: j, ctx: ctx, stream: st}
+	usage, err := s.Upstream.Run(j.ctx, call, sink)
+	var notSent *upstream.NotSentError
+	if errors.As(err, &notSent) {
+		s.abandon(j)
+		s.Log.Warn("upstream unreachable", "request", j.submit.Request, "error", err)
+		_ = st.Send(ctx, j.refuseMessage(peer.RefuseUpstream))
 		return
 	}
-	d.finish(j, usage, err)
+	s.recordResult(j, usage, err)
 	if j.record != nil && err == nil {
 		sendRecorded(ctx, st, j.submit.Attempt, j.answer)
 		return
 	}
-	_ = st.Send(ctx, d.end(j, err))
+	_ = st.Send(ctx, s.endMessage(j, err))
 }
 
-// sendRecorded sends an answer that is there as a whole.
+// sendRecorded sends a complete recorded answer.
 func sendRecorded(ctx context.Context, st *peer.Stream, attempt peer.AttemptID, a outcome.Answer) {
 	_ = st.Send(ctx, &peer.Head{Status: a.Status, Headers: a.Headers})
 	chunks := uint32(0)
@@ -49,10 +49,10 @@
 }
 
 // call builds the upstream request of a job.
-func (d *Server) call(j *job) (upstream.Call, error) {
-	d.mu.Lock()
-	service := d.service
-	d.mu.Unlock()
+func (s *Server) call(j *job) (upstream.Call, error) {
+	s.mu.Lock()
+	service := s.service
+	s.mu.Unlock()
 	m := j.submit
 	call := upstream.Call{Method: m.Method, Path: m.Path, Headers: m.Headers, Body: m.Body}
 	if service.Kind != settings.KindModel {
@@ -68,52 +68,53 @@
 	return call, err
 }
 
-// handOver makes the last checks before the first byte goes to the upstream, in one step with noting the start.
-func (d *Server) handOver(j *job) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	now := d.Clock.Now()
+// markStarted makes the last checks before the first byte is sent to the upstream, and records the start under the same
+// lock, so that no withdrawal comes between.
+func (s *Server) markStarted(j *job) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.Clock.Now()
 	if !now.Before(j.deadline) || j.stopped {
 		return false
 	}
-	// The home of a key may have moved while the job waited.
-	if j.record != nil && d.checkHome(j) != nil {
+	// The primary of a key may have changed while the job waited.
+	if j.record != nil && s.checkPrimary(j) != nil {
 		return false
 	}
-	return d.attempts.Start(now, j.attempt(), j.deadline.Sub(now))
+	return s.attempts.Start(now, j.attempt(), j.deadline.Sub(now))
 }
 
-// finish records the result of a run.
-func (d *Server) finish(j *job, usage upstream.Usage, err error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	now := d.Clock.Now()
+// recordResult records the result of a run.
+func (s *Server) recordResult(j *job, usage upstream.Usage, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.Clock.Now()
 	if usage.Known && err == nil {
-		d.learn(j.submit.Profile, j.profile, usage.Answer+settings.Tokens(j.submit.Offset))
-		d.remember(j, usage)
+		s.recordAnswerLength(j.submit.Profile, j.profile, usage.Answer+settings.Tokens(j.submit.Offset))
+		s.recordPrefix(j, usage)
 	}
 	if j.record == nil {
 		return
 	}
 	if err != nil {
-		d.keys.MarkLost(now, j.record, d.service.KeyLifetime)
+		s.keys.MarkLost(now, j.record, s.service.KeyLifetime)
 		return
 	}
-	d.keys.Finish(now, j.record, j.answer, d.service.KeyLifetime)
+	s.keys.Finish(now, j.record, j.answer, s.service.KeyLifetime)
 }
 
-// remember notes which prefix the engine holds now; the caller holds the lock.
-func (d *Server) remember(j *job, usage upstream.Usage) {
+// recordPrefix records the prefix that the engine has cached; the caller holds the lock.
+func (s *Server) recordPrefix(j *job, usage upstream.Usage) {
 	if j.submit.Chat == 0 {
 		return
 	}
-	d.admission.Prefixes.RecordStored(j.submit.Chat, usage.Prompt+usage.Answer)
-	if home, ok := d.set.Home(j.submit.Chat); ok && home == d.Self {
-		d.admission.CacheOwners.RecordServed(j.submit.Chat, d.Self)
+	s.admission.Prefixes.RecordStored(j.submit.Chat, usage.Prompt+usage.Answer)
+	if primary, ok := s.upstreamSet.Home(j.submit.Chat); ok && primary == s.Self {
+		s.admission.CacheOwners.RecordServed(j.submit.Chat, s.Self)
 	}
 }
 
-func (d *Server) end(j *job, err error) *peer.End {
+func (s *Server) endMessage(j *job, err error) *peer.End {
 	end := &peer.End{Attempt: j.submit.Attempt, Outcome: peer.OutcomeDone, Chunks: j.chunks.Load()}
 	if err == nil {
 		return end
@@ -121,12 +122,12 @@
 	end.Outcome = peer.OutcomeUnknown
 	end.Reason = "answer cut"
 	end.Moved = j.moveTo
-	d.Log.Warn("answer cut", "request", j.submit.Request, "attempt", j.submit.Attempt, "error", err)
+	s.Log.Warn("answer cut", "request", j.submit.Request, "attempt", j.submit.Attempt, "error", err)
 	return end
 }
 
-// repeat answers a submission whose key has run or is running already.
-func (d *Server) repeat(ctx context.Context, st *peer.Stream, j *job, step outcome.Step) {
+// answerRepeat answers a submission whose key has run or is running already.
+func (s *Server) answerRepeat(ctx context.Context, st *peer.Stream, j *job, step outcome.Step) {
 	switch step {
 	case outcome.StepBodyDiffers:
 		_ = st.Send(ctx, &peer.Refuse{Code: peer.RefuseKeyReused, KeyNotRun: true})
@@ -137,10 +138,10 @@
 		case <-j.ctx.Done():
 		}
 	}
-	d.mu.Lock()
+	s.mu.Lock()
 	state := j.record.State
 	answer := j.record.Answer
-	d.mu.Unlock()
+	s.mu.Unlock()
 	if state != outcome.StateDone {
 		_ = st.Send(ctx, &peer.Refuse{Code: peer.RefuseResultLost})
 		return
@@ -149,25 +150,25 @@
 	sendRecorded(ctx, st, j.submit.Attempt, answer)
 }
 
-// jobSink passes a job's answer to the router and keeps what may be asked for again.
+// jobSink forwards a job's answer to the router, or records it if it may be requested again.
 type jobSink struct {
-	door   *Server
+	server *Server
 	job    *job
 	ctx    context.Context
 	stream *peer.Stream
 }
 
-// Head passes the status and header on.
+// Head forwards or records the status and the header.
 func (s *jobSink) Head(status int, headers []peer.Header) error {
 	s.job.answer.Status = status
 	s.job.answer.Headers = headers
 	if s.job.record != nil {
 		return nil
 	}
-	return s.pass(&peer.Head{Status: status, Headers: headers})
+	return s.forward(&peer.Head{Status: status, Headers: headers})
 }
 
-// Chunk passes one piece on.
+// Chunk forwards or records one chunk.
 func (s *jobSink) Chunk(data []byte) error {
 	j := s.job
 	seq := j.chunks.Add(1)
@@ -175,36 +176,36 @@
 		s.firstToken()
 	}
 	if j.record != nil {
-		s.record(data)
+		s.recordChunk(data)
 		return nil
 	}
-	return s.pass(&peer.Chunk{Attempt: j.submit.Attempt, Seq: seq, Data: data})
+	return s.forward(&peer.Chunk{Attempt: j.submit.Attempt, Seq: seq, Data: data})
 }
 
-// record keeps an answer that may be asked for again; it is sent when it is whole, so that a slow caller
-// cannot hold up a run that must come to its end.
-func (s *jobSink) record(data []byte) {
+// recordChunk appends to a recorded answer. The answer is sent only when it is complete, so that a slow caller cannot
+// delay a run that must not be cut short.
+func (s *jobSink) recordChunk(data []byte) {
 	if len(s.job.answer.Body) <= outcome.MaxAnswerBytes {
 		s.job.answer.Body = append(s.job.answer.Body, data...)
 	}
 }
 
 func (s *jobSink) firstToken() {
-	s.door.mu.Lock()
-	defer s.door.mu.Unlock()
-	s.door.admission.FirstToken(&s.job.verdict)
+	s.server.mu.Lock()
+	defer s.server.mu.Unlock()
+	s.server.admission.FirstToken(&s.job.decision)
 	if m := s.job.submit; m.Chat != 0 {
-		s.door.admission.Prefixes.RecordStored(m.Chat, m.PromptTokens)
+		s.server.admission.Prefixes.RecordStored(m.Chat, m.PromptTokens)
 	}
 }
 
-// pass sends a message to the router; a call that may not be repeated runs on when the router is gone.
-func (s *jobSink) pass(m peer.Message) error {
-	if s.job.sink == nil {
-		s.job.sink = s.stream.Send(s.job.ctx, m)
+// forward sends a message to the router; a call that may not be repeated continues when the router has disconnected.
+func (s *jobSink) forward(m peer.Message) error {
+	if s.job.sinkErr == nil {
+		s.job.sinkErr = s.stream.Send(s.job.ctx, m)
 	}
 	if s.job.profile.Idempotent {
-		return s.job.sink
+		return s.job.sinkErr
 	}
 	return nil
 }
--- a/side/internal/router/submit.go
+++ b/side/internal/router/submit.go
@@ -13,40 +13,40 @@
 	"rattantrack.dev/core/settings"
 )
 
-// submit takes one attempt through the door.
-func (d *Server) submit(ctx context.Context, st *peer.Stream, m *peer.Submit) {
+// submit admits, queues and runs one attempt, and sends its outcome.
+func (s *Server) submit(ctx context.Context, st *peer.Stream, m *peer.Submit) {
 	j := &job{submit: m, slot: make(chan struct{})}
-	left := m.Remaining - st.Link().Lateness(m.Sent)
-	j.deadline = d.Clock.Now().Add(left)
-	j.ctx, j.cancel = context.WithTimeout(context.WithoutCancel(ctx), left)
+	remaining := m.Remaining - st.Link().Lateness(m.Sent)
+	j.deadline = s.Clock.Now().Add(remaining)
+	j.ctx, j.cancel = context.WithTimeout(context.WithoutCancel(ctx), remaining)
 	defer j.cancel()
 
-	step, refused := d.enter(j)
+	step, refused := s.admitAttempt(j)
 	if refused != nil {
 		_ = st.Send(ctx, refused.message())
 		return
 	}
 	if step != outcome.StepRun {
-		d.repeat(ctx, st, j, step)
+		s.answerRepeat(ctx, st, j, step)
 		return
 	}
-	defer d.leave(j)
+	defer s.release(j)
 	if st.Send(ctx, &peer.Accept{}) != nil {
-		d.abandon(j)
+		s.abandon(j)
 		return
 	}
-	go d.watch(ctx, st, j)
-	d.fetchPrefix(j)
-	if !d.waitForSlot(j) {
-		d.abandon(j)
-		_ = st.Send(ctx, j.refusal(peer.RefuseDeadline))
+	go s.watch(ctx, st, j)
+	s.fetchPrefix(j)
+	if !s.waitForSlot(j) {
+		s.abandon(j)
+		_ = st.Send(ctx, j.refuseMessage(peer.RefuseDeadline))
 		return
 	}
-	d.run(ctx, st, j)
+	s.run(ctx, st, j)
 }
 
-// refusal says why a job was not run, or where it goes on if it was moved before it started.
-func (j *job) refusal(code peer.RefuseCode) *peer.Refuse {
+// refuseMessage returns the refusal of a job that was not run; for a moved job it names the side to try instead.
+func (j *job) refuseMessage(code peer.RefuseCode) *peer.Refuse {
 	r := &peer.Refuse{Code: code, KeyNotRun: true, RetryAfter: time.Second}
 	if j.moveTo != "" {
 		r.Code = peer.RefuseHeldElsewhere
@@ -55,109 +55,114 @@
 	return r
 }
 
-// enter decides on a submission; it takes the load, a place in the queue and the key for one that may run.
-func (d *Server) enter(j *job) (outcome.Step, *refusal) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	now := d.Clock.Now()
+// admitAttempt decides on a submission; one that may run has its load counted, its place in the queue and its key claimed.
+func (s *Server) admitAttempt(j *job) (outcome.Step, *refusal) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.Clock.Now()
 	if !now.Before(j.deadline) {
 		return 0, &refusal{code: peer.RefuseDeadline}
 	}
-	if d.attempts.Seen(j.attempt()) {
+	if s.attempts.Seen(j.attempt()) {
 		return 0, &refusal{code: peer.RefuseCancelled}
 	}
-	step, refused := d.decide(j)
+	step, refused := s.reserve(j)
 	if refused != nil {
-		// Whoever hears the refusal may rely on it, so a copy of the submission must not start later.
-		d.attempts.Withdraw(now, j.attempt(), j.deadline.Sub(now))
+		// The router may submit elsewhere after a refusal, so a delayed copy of this submission must not start.
+		s.attempts.Withdraw(now, j.attempt(), j.deadline.Sub(now))
 	}
 	return step, refused
 }
 
-// decide takes what a submission needs to run, or says why it may not; the caller holds the lock.
-func (d *Server) decide(j *job) (outcome.Step, *refusal) {
-	profile, ok := d.profile(j.submit.Profile)
+// reserve claims what a submission needs to run, or returns why it may not; the caller holds the lock.
+func (s *Server) reserve(j *job) (outcome.Step, *refusal) {
+	profile, ok := s.profile(j.submit.Profile)
 	if !ok {
 		return 0, &refusal{code: peer.RefuseProfile, retryAfter: time.Second}
 	}
 	j.profile = profile
 	if j.key() != "" {
-		if step, refused := d.enterKey(j); refused != nil || step != outcome.StepRun {
+		if step, refused := s.claimKey(j); refused != nil || step != outcome.StepRun {
 			return step, refused
 		}
 	}
-	if refused := d.enterQueue(j); refused != nil {
+	if refused := s.enqueue(j); refused != nil {
 		if j.record != nil {
-			d.keys.Undo(j.record)
+			s.keys.Undo(j.record)
 			refused.keyNotRun = true
 		}
 		return 0, refused
 	}
-	if d.jobs == nil {
-		d.jobs = make(map[*job]struct{})
+	if s.jobs == nil {
+		s.jobs = make(map[*job]struct{})
 	}
-	d.jobs[j] = struct{}{}
-	d.work.Add(1)
-	d.startNext()
-	d.wakeShed()
+	s.jobs[j] = struct{}{}
+	s.work.Add(1)
+	s.startNext()
+	s.signalMove()
 	return outcome.StepRun, nil
 }
 
 // profile returns the profile of a submission if it is served here; the caller holds the lock.
-func (d *Server) profile(name settings.ProfileName) (settings.Profile, bool) {
-	if d.fleet == nil {
+func (s *Server) profile(name settings.ProfileName) (settings.Profile, bool) {
+	if s.declarations == nil {
 		return settings.Profile{}, false
 	}
-	p, ok := d.fleet.Profiles[name]
-	return p, ok && p.Service == d.name
+	p, ok := s.declarations.Profiles[name]
+	return p, ok && p.Service == s.serviceName
 }
 
-// enterQueue admits a job to the load and the queue; the caller holds the lock.
-func (d *Server) enterQueue(j *job) *refusal {
-	now := d.Clock.Now()
-	if d.isLeaving(now) {
+// enqueue adds a job to the load and the queue; the caller holds the lock.
+func (s *Server) enqueue(j *job) *refusal {
+	now := s.Clock.Now()
+	if s.isLeaving(now) {
 		return &refusal{code: peer.RefuseLeaving, retryAfter: time.Second}
 	}
-	if d.service.Kind == settings.KindModel {
-		if refused := d.admit(j); refused != nil {
+	if s.service.Kind == settings.KindModel {
+		if refused := s.admit(j); refused != nil {
 			return refused
 		}
 	}
 	j.item = &fairqueue.Item{
 		Team:     j.submit.Team,
-		Share:    d.fleet.Teams[j.submit.Team].Share,
+		Share:    s.declarations.Teams[j.submit.Team].Share,
 		Priority: j.profile.Priority,
-		Work:     max(1, j.verdict.Charge),
+		Work:     max(1, j.decision.Charge),
 		Deadline: j.deadline,
 		Start:    func() { close(j.slot) },
 	}
-	if !d.scheduler.Push(now, j.item) {
-		d.admission.Release(&j.verdict)
-		return &refusal{code: peer.RefuseOverloaded, retryAfter: d.retryAfter(), load: d.admission.Load()}
+	if !s.scheduler.Push(now, j.item) {
+		s.admission.Release(&j.decision)
+		return &refusal{code: peer.RefuseOverloaded, retryAfter: s.retryAfter(), load: s.admission.Load()}
 	}
 	return nil
 }
 
-// admit asks the admission controller; the caller holds the lock.
-func (d *Server) admit(j *job) *refusal {
+// admit submits a job to the admission controller; the caller holds the lock.
+func (s *Server) admit(j *job) *refusal {
 	m := j.submit
-	home, _ := d.set.Home(m.Chat)
-	ask := admission.Request{
+	primary, _ := s.upstreamSet.Home(m.Chat)
+	request := admission.Request{
 		Chat:          m.Chat,
 		PromptTokens:  m.PromptTokens,
-		DecodeTokens:  d.decodeGuess(m.Profile, j.profile),
-		IsPrimary:     home == d.Self,
+		DecodeTokens:  s.expectedAnswer(m.Profile, j.profile),
+		IsPrimary:     primary == s.Self,
 		Redirected:    m.Redirected,
 		Moved:         m.Moves > 0,
 		LastCandidate: m.LastCandidate,
 		CacheOwner:    m.CacheOwner,
 	}
-	j.verdict = d.admission.Decide(d.Clock.Now(), ask)
-	if j.verdict.Admitted {
+	j.decision = s.admission.Decide(s.Clock.Now(), request)
+	if j.decision.Admitted {
 		return nil
 	}
-	r := &refusal{code: peer.RefuseOverloaded, retryAfter: d.retryAfter(), load: d.admission.Load(), holder: j.verdict.CacheOwner}
-	for _, side := range j.verdict.Next {
+	r := &refusal{
+		code:       peer.RefuseOverloaded,
+		retryAfter: s.retryAfter(),
+		load:       s.admission.Load(),
+		cacheOwner: j.decision.CacheOwner,
+	}
+	for _, side := range j.decision.Next {
 		if side != "" {
 			r.next = append(r.next, side)
 		}
@@ -165,75 +170,75 @@
 	return r
 }
 
-// enterKey looks a key or ticket up and claims its one run; the caller holds the lock.
-func (d *Server) enterKey(j *job) (outcome.Step, *refusal) {
-	now := d.Clock.Now()
-	if refused := d.checkHome(j); refused != nil {
+// claimKey looks up a key or ticket and claims its single run; the caller holds the lock.
+func (s *Server) claimKey(j *job) (outcome.Step, *refusal) {
+	now := s.Clock.Now()
+	if refused := s.checkPrimary(j); refused != nil {
 		return 0, refused
 	}
-	body := xxhash.Sum64(append([]byte(j.submit.Method+" "+j.submit.Path+"\n"), j.submit.Body...))
-	r, step := d.keys.Lookup(j.key(), body)
+	bodyDigest := xxhash.Sum64(append([]byte(j.submit.Method+" "+j.submit.Path+"\n"), j.submit.Body...))
+	r, step := s.keys.Lookup(j.key(), bodyDigest)
 	if step != outcome.StepRun {
 		j.record = r
 		return step, nil
 	}
-	if refused := d.vouch(j); refused != nil {
+	if refused := s.confirmNoEarlierRun(j); refused != nil {
 		return 0, refused
 	}
-	j.record, step = d.keys.Begin(now, j.key(), body, d.service.KeyLifetime)
+	j.record, step = s.keys.Begin(now, j.key(), bodyDigest, s.service.KeyLifetime)
 	if step == outcome.StepTableFull {
 		return 0, &refusal{code: peer.RefuseTableFull, keyNotRun: true, retryAfter: time.Second}
 	}
 	return step, nil
 }
 
-// checkHome refuses keys and tickets that belong elsewhere; the caller holds the lock.
-func (d *Server) checkHome(j *job) *refusal {
+// checkPrimary refuses a key of another primary, and a ticket that is not valid here; the caller holds the lock.
+func (s *Server) checkPrimary(j *job) *refusal {
 	if j.submit.Ticket != "" {
-		err := d.Issuer.Check(d.Clock.Now(), j.submit.Ticket, d.service.KeyLifetime)
+		err := s.Issuer.Check(s.Clock.Now(), j.submit.Ticket, s.service.KeyLifetime)
 		if err != nil {
 			return &refusal{code: peer.RefuseTicket}
 		}
 		return nil
 	}
-	if home, ok := d.homes.Primary(j.submit.Key); !ok || home != d.Self {
+	if primary, ok := s.primaries.Primary(j.submit.Key); !ok || primary != s.Self {
 		return &refusal{code: peer.RefuseNotPrimary, retryAfter: time.Second}
 	}
 	return nil
 }
 
-// vouch refuses a key whose earlier run cannot be ruled out; the caller holds the lock.
-func (d *Server) vouch(j *job) *refusal {
+// confirmNoEarlierRun refuses a key of which an earlier run cannot be ruled out; the caller holds the lock.
+func (s *Server) confirmNoEarlierRun(j *job) *refusal {
 	if j.submit.Ticket != "" {
 		return nil
 	}
-	now := d.Clock.Now()
-	if d.homes.Confirm(now, j.submit.Key) != outcome.Confirmed {
-		return &refusal{code: peer.RefusePrimaryUnsure, retryAfter: d.homes.TimeToConfirm(now)}
+	now := s.Clock.Now()
+	if s.primaries.Confirm(now, j.submit.Key) != outcome.Confirmed {
+		return &refusal{code: peer.RefusePrimaryUnsure, retryAfter: s.primaries.TimeToConfirm(now)}
 	}
 	return nil
 }
 
-// watch ends the job when the router withdraws it or goes away.
-func (d *Server) watch(ctx context.Context, st *peer.Stream, j *job) {
+// watch stops the job when the router cancels it or disconnects, unless it must run to its end.
+func (s *Server) watch(ctx context.Context, st *peer.Stream, j *job) {
 	_, err := st.Receive(j.ctx)
 	if j.ctx.Err() != nil {
 		return
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if err != nil && ctx.Err() == nil && !j.profile.Idempotent {
-		// The router is gone, but what runs only once runs to its end.
+		// The router has disconnected, but a call that may not be repeated continues.
 		return
 	}
 	if !j.profile.Idempotent && j.item.Started() {
 		return
 	}
-	j.cut()
+	j.stop()
 }
 
-// waitForSlot reports whether the job got a slot before its deadline or withdrawal.
-func (d *Server) waitForSlot(j *job) bool {
+// waitForSlot reports whether the job got a slot before its deadline or its cancellation.
+func (s *Server) waitForSlot(j *job) bool {
 	select {
 	case <-j.slot:
 		return true
@@ -242,25 +247,25 @@
 	}
 }
 
-// abandon forgets the key of a job that was never handed over, and forbids its start.
-func (d *Server) abandon(j *job) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// abandon removes the key of a job of which nothing was sent to the upstream, and forbids its start.
+func (s *Server) abandon(j *job) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if j.record != nil {
-		d.keys.Undo(j.record)
+		s.keys.Undo(j.record)
 		j.record = nil
 	}
-	now := d.Clock.Now()
-	d.attempts.Withdraw(now, j.attempt(), j.deadline.Sub(now))
+	now := s.Clock.Now()
+	s.attempts.Withdraw(now, j.attempt(), j.deadline.Sub(now))
 }
 
-// leave gives back what a job holds.
-func (d *Server) leave(j *job) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.admission.Release(&j.verdict)
-	d.scheduler.Done(d.Clock.Now(), j.item)
-	delete(d.jobs, j)
-	d.startNext()
-	d.work.Done()
+// release frees the load and the slot of a job.
+func (s *Server) release(j *job) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.admission.Release(&j.decision)
+	s.scheduler.Done(s.Clock.Now(), j.item)
+	delete(s.jobs, j)
+	s.startNext()
+	s.work.Done()
 }
--- a/side/internal/sides/doc.go
+++ b/side/internal/sides/doc.go
@@ -1,2 +1,3 @@
-// Package sides speaks to the other sides of the same service: loads, the mean, and the records of keys.
+// Package sides communicates with the other sides of the same service: it exchanges loads and the mean load, moves
+// excess requests, transfers prefixes, and claims and hands over the records of keys.
 package sides
--- a/side/internal/sides/prefixes.go
+++ b/side/internal/sides/prefix_transfer.go
@@ -10,27 +10,27 @@
 	"rattantrack.dev/core/settings"
 )
 
-// Bounds of the prefixes that travel between sides.
+// Bounds of the prefix transfers between sides.
 const (
 	prefixChunkBytes = 64 << 10
 	maxPrefixBytes   = 256 << 20
-	// maxTransfers bounds the prefixes that one side sends at a time, and so the rate at which it sends.
-	maxTransfers = 4
-	exportLimit  = 2 * time.Second
+	// maxTransfers bounds the prefixes that one side sends at a time, and with them its sending rate.
+	maxTransfers  = 4
+	exportTimeout = 2 * time.Second
 )
 
-// TooManyTransfersError reports a side that is sending as many prefixes as it may.
+// TooManyTransfersError reports a side that is already sending maxTransfers prefixes.
 type TooManyTransfersError struct{}
 
 func (*TooManyTransfersError) Error() string { return "too many prefixes are being sent" }
 
-// Engine exports and imports prefixes.
+// Engine exports and imports prefixes of its cache.
 type Engine interface {
 	Export(ctx context.Context, chat uint64) ([]byte, error)
 	Import(ctx context.Context, chat uint64, prefix []byte) (settings.Tokens, error)
 }
 
-// PrefixTransfer moves prefixes between the engines of two sides.
+// PrefixTransfer copies prefixes between the engines of two sides.
 type PrefixTransfer struct {
 	Dialer Dialer
 	Engine Engine
@@ -38,30 +38,30 @@
 	sending chan struct{}
 }
 
-// NewPrefixTransfer returns a mover of prefixes for the engine of this side.
+// NewPrefixTransfer returns a PrefixTransfer for the engine of this side.
 func NewPrefixTransfer(d Dialer, e Engine) *PrefixTransfer {
 	return &PrefixTransfer{Dialer: d, Engine: e, sending: make(chan struct{}, maxTransfers)}
 }
 
-// Fetch brings the prefix of a chat from the side at an address into this side's engine.
+// Fetch copies the prefix of a chat from the side at an address into this side's engine, and returns its tokens.
 func (p *PrefixTransfer) Fetch(ctx context.Context, address string, chat uint64) (settings.Tokens, error) {
-	l, err := p.Dialer.Dial(ctx, address)
+	link, err := p.Dialer.Dial(ctx, address)
 	if err != nil {
 		return 0, err
 	}
-	st, err := l.Open(ctx, &peer.FetchPrefix{Chat: chat})
+	st, err := link.Open(ctx, &peer.FetchPrefix{Chat: chat})
 	if err != nil {
 		return 0, err
 	}
 	defer st.Close()
-	prefix, err := receive(ctx, st)
+	prefix, err := receivePrefix(ctx, st)
 	if err != nil {
 		return 0, err
 	}
 	return p.Engine.Import(ctx, chat, prefix)
 }
 
-func receive(ctx context.Context, st *peer.Stream) ([]byte, error) {
+func receivePrefix(ctx context.Context, st *peer.Stream) ([]byte, error) {
 	var prefix []byte
 	for {
 		m, err := st.Receive(ctx)
@@ -80,7 +80,7 @@
 	}
 }
 
-// Serve sends the prefix that another side asks for.
+// Serve sends the prefix that another side requests.
 func (p *PrefixTransfer) Serve(ctx context.Context, st *peer.Stream, f *peer.FetchPrefix) {
 	if err := p.send(ctx, st, f.Chat); err != nil {
 		_ = st.Send(ctx, &peer.Reset{Reason: err.Error()})
@@ -94,7 +94,7 @@
 	default:
 		return &TooManyTransfersError{}
 	}
-	ctx, cancel := context.WithTimeout(ctx, exportLimit)
+	ctx, cancel := context.WithTimeout(ctx, exportTimeout)
 	defer cancel()
 	prefix, err := p.Engine.Export(ctx, chat)
 	if err != nil {
--- a/side/internal/sides/service.go
+++ b/side/internal/sides/service.go
@@ -12,16 +12,16 @@
 	"rattantrack.dev/side/internal/router"
 )
 
-// Times of the exchanges.
+// Times and bounds of the exchanges.
 const (
-	askLimit      = 500 * time.Millisecond
-	claimInterval = 500 * time.Millisecond
-	reshuffle     = 2 * time.Second
-	// neighbours is the number of other sides that one side exchanges with at a time; all are met in turn.
-	neighbours = 16
+	exchangeTimeout = 500 * time.Millisecond
+	claimInterval   = 500 * time.Millisecond
+	rotateInterval  = 2 * time.Second
+	// peerCount is the number of other sides in the peer set, which changes over time.
+	peerCount = 16
 )
 
-// Admission is what the exchanges tell and ask.
+// Admission is the part of the side's router.Server that the exchanges use.
 type Admission interface {
 	ExchangeSample(other *meanload.Sample) meanload.Sample
 	MergeSample(other meanload.Sample)
@@ -38,70 +38,71 @@
 	Handover() *peer.Handover
 }
 
-// Dialer gives links to addresses.
+// Dialer returns links to addresses.
 type Dialer interface {
 	Dial(ctx context.Context, address string) (*peer.Link, error)
 }
 
-// Service exchanges loads with other sides in rounds and claims the records of keys that have moved here.
+// Service periodically exchanges loads with other sides, moves excess requests to them, and claims the records of keys
+// that have moved to this side.
 type Service struct {
 	Admission Admission
 	Dialer    Dialer
 	Prefixes  *PrefixTransfer
 
-	others overlay.PeerSet
+	peers overlay.PeerSet
 }
 
 // String returns the service's name.
 func (s *Service) String() string { return "sides" }
 
-// Run exchanges until ctx ends.
+// Run exchanges loads, moves requests and claims records until ctx ends.
 func (s *Service) Run(ctx context.Context, ready func()) error {
-	s.others.Size = neighbours
+	s.peers.Size = peerCount
 	ready()
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		every(ctx, claimInterval, func() { s.claim(ctx) })
+		every(ctx, claimInterval, func() { s.sendClaims(ctx) })
 	}()
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		s.shedWhenWanted(ctx)
+		s.moveOnDemand(ctx)
 	}()
-	shuffled := time.Now()
+	rotated := time.Now()
 	every(ctx, meanload.ExchangeInterval, func() {
-		if time.Since(shuffled) > reshuffle {
-			s.others.Rotate()
-			shuffled = time.Now()
+		if time.Since(rotated) > rotateInterval {
+			s.peers.Rotate()
+			rotated = time.Now()
 		}
-		s.exchange(ctx)
-		s.shed(ctx)
+		s.exchangeRandom(ctx)
+		s.moveExcess(ctx)
 	})
 	return nil
 }
 
-// shedWhenWanted moves work away as soon as the load has grown too much.
-func (s *Service) shedWhenWanted(ctx context.Context) {
+// moveOnDemand moves requests away as soon as the load has grown too far, without waiting for the next exchange.
+func (s *Service) moveOnDemand(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-s.Admission.MoveWanted():
-			s.shed(ctx)
+			s.moveExcess(ctx)
 		}
 	}
 }
 
-// maxShedSteps bounds the moves of one look at the load.
-const maxShedSteps = 5
+// maxMovesPerCheck bounds the moves after one check of the load.
+const maxMovesPerCheck = 5
 
-// shed moves requests away while there is too much here. Each target is asked for its load first, so that no move
-// rests on an old report.
-func (s *Service) shed(ctx context.Context) {
-	for range maxShedSteps {
+// moveExcess moves requests away while there is excess load. It exchanges samples with each target first, so that no
+// move relies on an old load report.
+func (s *Service) moveExcess(ctx context.Context) {
+	for range maxMovesPerCheck {
 		to, address, ok := s.Admission.MoveTarget()
 		if !ok {
 			return
@@ -127,36 +128,36 @@
 	}
 }
 
-// exchange swaps samples with one neighbour.
-func (s *Service) exchange(ctx context.Context) {
+// exchangeRandom exchanges samples with a random peer.
+func (s *Service) exchangeRandom(ctx context.Context) {
 	_, addresses := s.Admission.Siblings()
-	address, ok := s.others.Pick(addresses)
+	address, ok := s.peers.Pick(addresses)
 	if !ok {
 		return
 	}
 	if err := s.exchangeWith(ctx, address); err != nil {
-		s.others.Drop(address)
+		s.peers.Drop(address)
 	}
 }
 
-// exchangeWith swaps samples with the side at an address.
+// exchangeWith exchanges samples with the side at an address.
 func (s *Service) exchangeWith(ctx context.Context, address string) error {
-	ctx, cancel := context.WithTimeout(ctx, askLimit)
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	l, err := s.Dialer.Dial(ctx, address)
+	link, err := s.Dialer.Dial(ctx, address)
 	if err != nil {
 		return err
 	}
 	name, _ := s.Admission.Siblings()
-	answer, err := peer.Ask[*peer.LoadExchange](ctx, l, message(name, s.Admission.ExchangeSample(nil)), askLimit)
+	answer, err := peer.Ask[*peer.LoadExchange](ctx, link, toMessage(name, s.Admission.ExchangeSample(nil)), exchangeTimeout)
 	if err != nil {
 		return err
 	}
-	s.Admission.MergeSample(sample(answer))
+	s.Admission.MergeSample(fromMessage(answer))
 	return nil
 }
 
-// Serve answers another side's message; it reports false for messages of other services.
+// Serve handles a message from another side or a router; it returns false for messages of other services.
 func (s *Service) Serve(ctx context.Context, st *peer.Stream, m peer.Message) bool {
 	switch v := m.(type) {
 	case *peer.LoadExchange:
@@ -179,7 +180,7 @@
 	return true
 }
 
-// leaving takes another side's word that it leaves, or a router's word that this VM is listed as leaving.
+// leaving handles another side's notice that it is leaving, or a router's notice that this VM is listed as leaving.
 func (s *Service) leaving(from peer.Hello) {
 	if from.Role == peer.RoleRouter {
 		s.Admission.ListedLeaving()
@@ -194,34 +195,34 @@
 		_ = st.Send(ctx, &peer.Reset{Reason: "other service"})
 		return
 	}
-	theirs := sample(v)
+	theirs := fromMessage(v)
 	mine := s.Admission.ExchangeSample(&theirs)
-	_ = st.Send(ctx, message(name, mine))
+	_ = st.Send(ctx, toMessage(name, mine))
 }
 
-func message(name settings.ServiceName, s meanload.Sample) *peer.LoadExchange {
+func toMessage(name settings.ServiceName, s meanload.Sample) *peer.LoadExchange {
 	return &peer.LoadExchange{Side: s.Side, Service: name, Load: float32(s.Load), Mean: float32(s.Mean), MeanKnown: s.Known}
 }
 
-func sample(e *peer.LoadExchange) meanload.Sample {
+func fromMessage(e *peer.LoadExchange) meanload.Sample {
 	return meanload.Sample{Side: e.Side, Load: settings.Tokens(e.Load), Mean: settings.Tokens(e.Mean), Known: e.MeanKnown}
 }
 
-// claim asks every side whose word is missing for the records that belong here now.
-func (s *Service) claim(ctx context.Context) {
-	for _, q := range s.Admission.PendingClaims() {
-		s.claimFrom(ctx, q.Claim, q.Address)
+// sendClaims sends every pending claim.
+func (s *Service) sendClaims(ctx context.Context) {
+	for _, pending := range s.Admission.PendingClaims() {
+		s.sendClaim(ctx, pending.Claim, pending.Address)
 	}
 }
 
-func (s *Service) claimFrom(ctx context.Context, question *peer.Claim, address string) {
-	ctx, cancel := context.WithTimeout(ctx, askLimit)
+func (s *Service) sendClaim(ctx context.Context, claim *peer.Claim, address string) {
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	l, err := s.Dialer.Dial(ctx, address)
+	link, err := s.Dialer.Dial(ctx, address)
 	if err != nil {
 		return
 	}
-	st, err := l.Open(ctx, question)
+	st, err := link.Open(ctx, claim)
 	if err != nil {
 		return
 	}
@@ -239,8 +240,8 @@
 	}
 }
 
-// HandOver leaves this side's records with one other side. A second copy could outlive the first and mislead a
-// later successor, so another side is tried only where nothing was sent.
+// HandOver leaves this side's records with one other side. A second copy could outlive the first and give stale records
+// to a later successor, so another side is tried only if nothing was sent.
 func (s *Service) HandOver(ctx context.Context) {
 	handover := s.Admission.Handover()
 	if handover == nil {
@@ -248,12 +249,12 @@
 	}
 	_, addresses := s.Admission.Siblings()
 	for _, address := range addresses {
-		l, err := s.Dialer.Dial(ctx, address)
+		link, err := s.Dialer.Dial(ctx, address)
 		if err != nil {
 			continue
 		}
-		// Without an answer the successor waits until the keys have outlived their lifetime.
-		_, _ = peer.Ask[*peer.HandoverAck](ctx, l, handover, askLimit)
+		// If the records do not arrive, the successor confirms no key until a key's lifetime has passed.
+		_, _ = peer.Ask[*peer.HandoverAck](ctx, link, handover, exchangeTimeout)
 		return
 	}
 }
--- a/side/internal/upstream/client.go
+++ b/side/internal/upstream/client.go
@@ -19,33 +19,33 @@
 	"rattantrack.dev/core/settings"
 )
 
-// Sizes and times of the connection to the upstream.
+// Sizes and times of the connections to the upstream.
 const (
-	pieceBytes    = 32 << 10
-	maxEventBytes = 1 << 20
-	idleLimit     = 30 * time.Second
-	maxIdle       = 64
+	readBufferBytes = 32 << 10
+	maxEventBytes   = 1 << 20
+	idleConnTimeout = 30 * time.Second
+	maxIdleConns    = 64
 )
 
-// NotSentError reports a request of which no byte reached the upstream.
+// NotSentError reports a request of which no byte was sent to the upstream.
 type NotSentError struct {
 	Cause error
 }
 
-func (e *NotSentError) Error() string { return "not handed over: " + e.Cause.Error() }
+func (e *NotSentError) Error() string { return "request not sent: " + e.Cause.Error() }
 
-// Unwrap returns what kept the request from being handed over.
+// Unwrap returns the reason why the request was not sent.
 func (e *NotSentError) Unwrap() error { return e.Cause }
 
-// CutError reports an answer that ended before its end.
-type CutError struct {
+// TruncatedError reports a request that may have been sent and whose answer is missing or incomplete.
+type TruncatedError struct {
 	Cause error
 }
 
-func (e *CutError) Error() string { return "answer cut: " + e.Cause.Error() }
+func (e *TruncatedError) Error() string { return "answer cut: " + e.Cause.Error() }
 
-// Unwrap returns what cut the answer.
-func (e *CutError) Unwrap() error { return e.Cause }
+// Unwrap returns the reason why the answer is incomplete.
+func (e *TruncatedError) Unwrap() error { return e.Cause }
 
 // Call is one request to the upstream.
 type Call struct {
@@ -55,7 +55,7 @@
 	Body    []byte
 }
 
-// Usage is what an engine says of a finished answer.
+// Usage is the token usage that an engine reports for a finished answer.
 type Usage struct {
 	Prompt settings.Tokens
 	Cached settings.Tokens
@@ -63,13 +63,13 @@
 	Known  bool
 }
 
-// Sink takes the answer as it comes.
+// Sink receives the answer as it arrives.
 type Sink interface {
 	Head(status int, headers []peer.Header) error
 	Chunk(data []byte) error
 }
 
-// Client calls one upstream.
+// Client sends requests to one upstream.
 type Client struct {
 	url  string
 	http *http.Client
@@ -78,29 +78,30 @@
 // New returns a client for the upstream at a base URL.
 func New(url string) *Client {
 	t := &http.Transport{
-		MaxIdleConnsPerHost: maxIdle,
-		IdleConnTimeout:     idleLimit,
+		MaxIdleConnsPerHost: maxIdleConns,
+		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
 	return &Client{url: strings.TrimSuffix(url, "/"), http: &http.Client{Transport: t, CheckRedirect: noRedirect}}
 }
 
-// noRedirect passes redirects on to the caller, since following one would run the request again.
+// noRedirect returns redirects to the caller, since following one would run the request again.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// onceReader hides its bytes from the transport, which would otherwise replay a request that names an
-// idempotency key when a connection breaks, and the upstream may run it twice.
+// onceReader hides the type of a body from net/http, so that the transport cannot rewind it. The transport would
+// otherwise replay a request with an idempotency key on a broken connection, and the upstream might run it twice.
 type onceReader struct {
 	io.Reader
 }
 
-// Run makes the call and passes the answer to sink; the error says how far the call came.
+// Run sends the call and passes the answer to sink. A NotSentError means that nothing was sent, a TruncatedError that the
+// call may have run.
 func (c *Client) Run(ctx context.Context, call Call, sink Sink) (Usage, error) {
-	var handed atomic.Bool
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { handed.Store(true) }})
+	var gotConn atomic.Bool
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { gotConn.Store(true) }})
 	req, err := http.NewRequestWithContext(ctx, call.Method, c.url+call.Path, onceReader{bytes.NewReader(call.Body)})
 	if err != nil {
 		return Usage{}, &NotSentError{Cause: err}
@@ -108,8 +109,8 @@
 	req.ContentLength = int64(len(call.Body))
 	if len(call.Body) == 0 {
 		req.Body = http.NoBody
-		// A request without a body could be replayed as well; an unknown length forbids that.
-		if !safeMethod(call.Method) {
+		// The transport could replay a request without a body as well; an unknown length prevents that.
+		if !isSafeMethod(call.Method) {
 			req.Body = io.NopCloser(onceReader{bytes.NewReader(nil)})
 			req.ContentLength = -1
 		}
@@ -119,14 +120,14 @@
 	}
 	res, err := c.http.Do(req)
 	if err != nil {
-		if handed.Load() {
-			return Usage{}, &CutError{Cause: err}
+		if gotConn.Load() {
+			return Usage{}, &TruncatedError{Cause: err}
 		}
 		return Usage{}, &NotSentError{Cause: err}
 	}
 	defer res.Body.Close()
-	if err := sink.Head(res.StatusCode, peer.EndToEndHeaders(res.Header, keepAll)); err != nil {
-		return Usage{}, errors.Wrap(err, "passing the head on")
+	if err := sink.Head(res.StatusCode, peer.EndToEndHeaders(res.Header, dropNone)); err != nil {
+		return Usage{}, errors.Wrap(err, "forwarding the head")
 	}
 	if strings.HasPrefix(res.Header.Get("Content-Type"), "text/event-stream") {
 		return relayEvents(res.Body, sink)
@@ -134,35 +135,35 @@
 	return relayBody(res.Body, sink)
 }
 
-func safeMethod(method string) bool {
+func isSafeMethod(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 }
 
-// keepAll drops no header of an answer but those of its connection.
-func keepAll(string) bool { return false }
+// dropNone selects no header to drop.
+func dropNone(string) bool { return false }
 
-// relayBody passes a plain body on in pieces.
+// relayBody passes a body that is not an event stream to sink in chunks.
 func relayBody(body io.Reader, sink Sink) (Usage, error) {
-	piece := make([]byte, pieceBytes)
-	var last []byte
+	buf := make([]byte, readBufferBytes)
+	var chunk []byte
 	for {
-		n, err := body.Read(piece)
+		n, err := body.Read(buf)
 		if n > 0 {
-			last = bytes.Clone(piece[:n])
-			if sinkErr := sink.Chunk(last); sinkErr != nil {
-				return Usage{}, errors.Wrap(sinkErr, "passing a piece on")
+			chunk = bytes.Clone(buf[:n])
+			if sinkErr := sink.Chunk(chunk); sinkErr != nil {
+				return Usage{}, errors.Wrap(sinkErr, "forwarding a chunk")
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			return usageOf(last), nil
+			return parseUsage(chunk), nil
 		}
 		if err != nil {
-			return Usage{}, &CutError{Cause: err}
+			return Usage{}, &TruncatedError{Cause: err}
 		}
 	}
 }
 
-// relayEvents passes server-sent events on, one a chunk, and demands the closing event.
+// relayEvents passes server-sent events to sink, one per chunk, and fails if the final [DONE] event is missing.
 func relayEvents(body io.Reader, sink Sink) (Usage, error) {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, 4<<10), maxEventBytes)
@@ -170,13 +171,13 @@
 	var usage Usage
 	for scanner.Scan() {
 		event := bytes.Clone(scanner.Bytes())
-		if u := usageOf(event); u.Known {
+		if u := parseUsage(event); u.Known {
 			usage = u
 		}
 		if err := sink.Chunk(event); err != nil {
-			return usage, errors.Wrap(err, "passing an event on")
+			return usage, errors.Wrap(err, "forwarding an event")
 		}
-		if bytes.HasPrefix(event, lastEvent) {
+		if bytes.HasPrefix(event, doneEvent) {
 			return usage, nil
 		}
 	}
@@ -184,14 +185,14 @@
 	if err == nil {
 		err = io.ErrUnexpectedEOF
 	}
-	return usage, &CutError{Cause: err}
+	return usage, &TruncatedError{Cause: err}
 }
 
 var (
-	eventEnd  = []byte("\n\n")
-	lastEvent = []byte("data: [DONE]")
-	dataStart = []byte("data: ")
-	usageMark = []byte(`"usage":{`)
+	eventEnd   = []byte("\n\n")
+	doneEvent  = []byte("data: [DONE]")
+	dataPrefix = []byte("data: ")
+	usageField = []byte(`"usage":{`)
 )
 
 // splitEvents splits a stream after each blank line.
@@ -206,11 +207,11 @@
 	return 0, nil, nil
 }
 
-func usageOf(text []byte) Usage {
-	if !bytes.Contains(text, usageMark) {
+func parseUsage(text []byte) Usage {
+	if !bytes.Contains(text, usageField) {
 		return Usage{}
 	}
-	usage := gjson.GetBytes(bytes.TrimPrefix(text, dataStart), "usage")
+	usage := gjson.GetBytes(bytes.TrimPrefix(text, dataPrefix), "usage")
 	return Usage{
 		Prompt: settings.Tokens(usage.Get("prompt_tokens").Float()),
 		Cached: settings.Tokens(usage.Get("prompt_tokens_details.cached_tokens").Float()),
@@ -219,7 +220,8 @@
 	}
 }
 
-// ChatBody returns the body of a chat request for the engine: its own name of the model, and where to go on.
+// ChatBody returns the body of a chat request for the engine: with the engine's name of the model, and with the text and
+// offset to resume from.
 func ChatBody(body []byte, model, resume string, offset uint32) ([]byte, error) {
 	body, err := sjson.SetBytes(body, "model", model)
 	if err != nil {
--- a/side/internal/upstream/doc.go
+++ b/side/internal/upstream/doc.go
@@ -1,2 +1,2 @@
-// Package upstream speaks HTTP to the model engine or plain service beside the side process.
+// Package upstream is the HTTP client for the upstream beside the side process, a model engine or a plain service.
 package upstream
--- a/side/internal/upstream/prefix.go
+++ b/side/internal/upstream/prefix.go
@@ -15,39 +15,39 @@
 
 const maxPrefixBytes = 256 << 20
 
-// imported is the engine's answer to an import.
-type imported struct {
+// importResponse is the engine's response to an import.
+type importResponse struct {
 	Tokens settings.Tokens `json:"tokens"`
 }
 
-// Export returns the prefix of a chat from the engine's cache, in the engine's own form.
+// Export returns the prefix of a chat from the engine's cache, in the engine's own format.
 func (c *Client) Export(ctx context.Context, chat uint64) ([]byte, error) {
 	return c.transfer(ctx, http.MethodGet, fmt.Sprintf("%s/kv/export?chat=%d", c.url, chat), nil)
 }
 
-// Import puts a prefix into the engine's cache and returns its tokens.
+// Import adds a prefix to the engine's cache and returns its length in tokens.
 func (c *Client) Import(ctx context.Context, chat uint64, prefix []byte) (settings.Tokens, error) {
 	text, err := c.transfer(ctx, http.MethodPost, fmt.Sprintf("%s/kv/import?chat=%d", c.url, chat), prefix)
 	if err != nil {
 		return 0, err
 	}
-	var answer imported
-	err = json.Unmarshal(text, &answer)
-	return answer.Tokens, errors.Wrap(err, "reading the engine's answer")
+	var response importResponse
+	err = json.Unmarshal(text, &response)
+	return response.Tokens, errors.Wrap(err, "decoding the engine's response")
 }
 
 func (c *Client) transfer(ctx context.Context, method, url string, body []byte) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return nil, errors.Wrap(err, "building a transfer")
+		return nil, errors.Wrap(err, "creating a transfer request")
 	}
 	res, err := c.http.Do(req)
 	if err != nil {
-		return nil, errors.Wrap(err, "asking the engine")
+		return nil, errors.Wrap(err, "sending a transfer request to the engine")
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return nil, errors.Newf("engine answered %d", res.StatusCode)
+		return nil, errors.Newf("engine returned status %d", res.StatusCode)
 	}
 	text, err := io.ReadAll(io.LimitReader(res.Body, maxPrefixBytes))
 	return text, errors.Wrap(err, "reading a prefix")
--- a/side/main.go
+++ b/side/main.go
@@ -1,4 +1,4 @@
-// Command side runs beside one upstream and is the one door to it.
+// Command side runs beside one upstream and controls the access to it.
 package main
 
 import (
@@ -9,5 +9,5 @@
 )
 
 func main() {
-	os.Exit(operator.Main("side", "Runs beside one upstream and is the one door to it.", app.Start))
+	os.Exit(operator.Main("side", "Runs beside one upstream and controls the access to it.", app.Start))
 }
