--- a/model/verify.sh
+++ b/model/verify.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Checks the protocol models exhaustively, and that the broken variants are rejected.
+# Checks the protocol models exhaustively, and that each broken variant fails.
 set -euo pipefail
 cd "$(dirname "$0")"
 work=$(mktemp -d)
