--- a/Makefile
+++ b/Makefile
@@ -1,9 +1,9 @@
-# Every habit of the project, one target each.
+# Build, test, lint and benchmark targets. MODULES are the modules of the Go workspace.
 MODULES := core platform router side rattantrack standin
 PROGRAMS := router side rattantrack standin
 BIN := bin
 
-# Names of the platform's own, which must stay in platform/.
+# Pattern of the platform's own names, which only code in platform/ may use.
 PLATFORM_NAMES := Attempt-Id|Deadline-Ms|Target-Instance|Response-Seal|Not-Executed|Server-Load|Token-Usage|Prompt-Prefix|kv-range|kv-watch|kv-key|kv-list|route-type|target-latency|session-affinity|stream-resume|RATTANTRACK_NODE_FILE
 
 .PHONY: tools build test lint platform-names fmt race fuzz-seeds fuzz examples demo failures verify-model bench bench-decisions bench-capacity soak known-red clean
@@ -12,10 +12,10 @@
 	@mkdir -p $(BIN)
 	@for p in $(PROGRAMS); do go build -o $(BIN)/$$p ./$$p || exit 1; done
 
-# The whole test set, which CI runs.
+# Runs every check that CI runs.
 test: tools lint build examples verify-model race fuzz-seeds demo known-red
 
-# What a fresh machine lacks.
+# Installs the model checker and the C compiler if they are missing.
 tools:
 	@command -v spin >/dev/null && command -v gcc >/dev/null || { apt-get update && apt-get install -y --no-install-recommends spin gcc libc6-dev; }
 
@@ -29,7 +29,8 @@
 	@mkdir -p $(BIN)
 	@cd tools && GOWORK=off go build -o ../$(BIN)/staticcheck honnef.co/go/tools/cmd/staticcheck
 
-# gopls renames identifiers across the workspace. It needs an older version of the analysis libraries than staticcheck, hence its own module.
+# gopls renames identifiers across the workspace. It has its own module because it needs an older version of the analysis
+# libraries than staticcheck.
 $(BIN)/gopls: tools/gopls/go.mod
 	@mkdir -p $(BIN)
 	@cd tools/gopls && GOWORK=off go build -o ../../$(BIN)/gopls golang.org/x/tools/gopls
@@ -39,16 +40,16 @@
 	@for m in $(MODULES); do (cd $$m && go vet ./... && ../$(BIN)/staticcheck ./...) || exit 1; done
 	@echo "lint ok"
 
-# Tests of all modules under the race detector.
+# Runs the tests of all modules under the race detector.
 race:
 	@for m in $(MODULES); do (cd $$m && go test -race -count=1 ./...) || exit 1; done
 
-# The seed corpora of the fuzz targets.
+# Runs the fuzz targets of core and platform on their seed corpora only.
 fuzz-seeds:
 	@cd core && go test -count=1 -run '^Fuzz' ./...
 	@cd platform && go test -count=1 -run '^Fuzz' .
 
-# Each fuzz target for FUZZTIME.
+# Fuzzes the targets named below, each for FUZZTIME.
 FUZZTIME ?= 60s
 fuzz:
 	@cd platform && for f in FuzzReadRequest FuzzDecodeInstance FuzzDecodeConfig; do go test -run '^$$' -fuzz "^$$f$$" -fuzztime $(FUZZTIME) . || exit 1; done
@@ -61,29 +62,29 @@
 demo: build
 	@$(BIN)/standin demo --bin $(BIN)
 
-# Checks the protocol models, and that the broken variants are rejected.
+# Checks the protocol models, and that the checker rejects their broken variants.
 verify-model:
 	@model/verify.sh
 
-# The failure tests over real processes, RUNS times each, with a line of counts at the end.
+# Runs the failure tests against real processes, each RUNS times, and prints the numbers of passed and failed tests.
 RUNS ?= 1
 failures:
 	@cd standin && go test -count=$(RUNS) -v ./internal/fleet 2>&1 | tee /tmp/rattantrack-failures.log | grep -E '^(--- |ok|FAIL)' ; \
 	echo "passed $$(grep -c '^--- PASS' /tmp/rattantrack-failures.log) failed $$(grep -c '^--- FAIL' /tmp/rattantrack-failures.log)"
 
-# The decisions on a virtual clock against the baselines.
+# Simulates the routing and admission decisions on a virtual clock and compares them with baseline policies.
 bench-decisions:
 	@cd core && go run ./internal/benchdecisions
 
-# The path, open streams and decisions in running processes, as JSON lines.
+# Measures the request path, open streams and routing decisions in running processes and prints JSON lines.
 bench: build
 	@$(BIN)/standin bench --bin $(BIN) --only path,streams,fleet
 
-# How state, traffic and processor time grow with the fleet, as JSON lines.
+# Measures how state, traffic and processor time grow with the fleet and prints JSON lines.
 bench-capacity: build
 	@$(BIN)/standin bench --bin $(BIN) --only capacity
 
-# The fault soak over SEEDS seeds from FIRST on, JOBS at a time; the seeds that CI plays run with the tests of platform.
+# Runs the fault soak test over SEEDS seeds starting at FIRST, JOBS at a time. The tests of platform/ run the seeds that CI uses.
 FIRST ?= 1000
 SEEDS ?= 50
 JOBS ?= 4
