--- a/core/internal/benchdecisions/main.go
+++ b/core/internal/benchdecisions/main.go
@@ -1,5 +1,6 @@
-// Command benchdecisions plays seeded arrivals to the choosing, admission and sharing code beside in-memory engines on
-// a virtual clock, with baselines on the same arrivals. It has no network and no processes.
+// Command benchdecisions simulates a fleet of model engines on a virtual clock. It compares the routing, admission and
+// fair queuing decisions of the system with baseline policies. Random numbers come from seeds, so a run can be repeated.
+// It uses no network and starts no processes.
 package main
 
 import (
@@ -13,7 +14,7 @@
 	"sync"
 )
 
-// result is one line of output: the mean over the seeds, and the worst seed where Worst is set.
+// result is one line of output. Values are means over the seeds; ReuseWorst and SkewMax are the worst values of all seeds.
 type result struct {
 	Scenario   string  `json:"scenario"`
 	Policy     string  `json:"policy"`
@@ -25,15 +26,16 @@
 	SkewP50    float64 `json:"skew_p50"`
 	SkewP99    float64 `json:"skew_p99"`
 	SkewMax    float64 `json:"skew_max"`
-	// Held is the share of samples within the multiple, the mean being over eight requests in flight.
-	Held         float64 `json:"held"`
-	Refused      float64 `json:"refused"`
-	TTFTOthers   float64 `json:"ttft_p99_ms_others"`
-	TTFTSurging  float64 `json:"ttft_p99_ms_surging"`
-	MovedBytes   float64 `json:"moved_bytes"`
-	ControlBytes float64 `json:"control_bytes_per_second"`
-	Asks         float64 `json:"asks_per_request"`
-	InFlight     float64 `json:"mean_in_flight"`
+	// WithinMultiple is the fraction of load samples whose largest load is within the multiple of the mean. It leaves out
+	// samples with minInFlight or fewer requests per engine.
+	WithinMultiple float64 `json:"held"`
+	Refused        float64 `json:"refused"`
+	TTFTOthers     float64 `json:"ttft_p99_ms_others"`
+	TTFTSurging    float64 `json:"ttft_p99_ms_surging"`
+	MovedBytes     float64 `json:"moved_bytes"`
+	ControlRate    float64 `json:"control_bytes_per_second"` // per engine
+	SideRequests   float64 `json:"asks_per_request"`
+	InFlight       float64 `json:"mean_in_flight"`
 }
 
 func main() {
@@ -41,11 +43,11 @@
 	engines := flag.String("engines", "20,1015", "fleet sizes")
 	scenarios := flag.String("scenarios", strings.Join(scenarioNames, ","), "scenarios")
 	policies := flag.String("policies", strings.Join(policyNames, ","), "policies")
-	multiples := flag.String("multiples", "1.25,1.5", "promised multiples")
+	multiples := flag.String("multiples", "1.25,1.5", "upper bounds of an engine's load, as multiples of the mean load")
 	flag.Parse()
 	fmt.Fprintf(os.Stderr, "seeds 1 to %d\n", *seeds)
-	fmt.Fprintf(os.Stderr, "%-18s %-14s %7s %5s %6s %6s %6s %6s %6s %6s %7s %8s %8s %6s %6s %6s\n", "scenario", "policy", "engines",
-		"mult", "reuse", "worst", "p50", "p99", "max", "held", "refused", "ttft_oth", "ttft_sur", "moveGB", "asks", "flight")
+	fmt.Fprintf(os.Stderr, "%-18s %-14s %7s %5s %6s %6s %6s %6s %6s %6s %7s %8s %8s %6s %6s %6s\n",
+		"scenario", "policy", "engines", "mult", "reuse", "worst", "p50", "p99", "max", "held", "refused", "ttft_oth", "ttft_sur", "moveGB", "asks", "flight")
 	for _, n := range parseInts(*engines) {
 		for _, multiple := range parseFloats(*multiples) {
 			for _, scenario := range strings.Split(*scenarios, ",") {
@@ -57,7 +59,7 @@
 	}
 }
 
-// report runs a configuration with every seed and prints its line.
+// report runs a configuration with every seed and prints its result to stdout as JSON and to stderr as a table row.
 func report(c config, seeds int) {
 	stats := make([]stats, seeds)
 	var wg sync.WaitGroup
@@ -79,8 +81,9 @@
 		os.Exit(1)
 	}
 	fmt.Println(string(line))
-	fmt.Fprintf(os.Stderr, "%-18s %-14s %7d %5.2f %6.3f %6.3f %6.2f %6.2f %6.2f %6.4f %7.4f %8.0f %8.0f %6.1f %6.2f %6.1f\n", r.Scenario, r.Policy, r.Engines,
-		r.Multiple, r.Reuse, r.ReuseWorst, r.SkewP50, r.SkewP99, r.SkewMax, r.Held, r.Refused, r.TTFTOthers, r.TTFTSurging, r.MovedBytes/1e9, r.Asks, r.InFlight)
+	fmt.Fprintf(os.Stderr, "%-18s %-14s %7d %5.2f %6.3f %6.3f %6.2f %6.2f %6.2f %6.4f %7.4f %8.0f %8.0f %6.1f %6.2f %6.1f\n",
+		r.Scenario, r.Policy, r.Engines, r.Multiple, r.Reuse, r.ReuseWorst, r.SkewP50, r.SkewP99, r.SkewMax, r.WithinMultiple,
+		r.Refused, r.TTFTOthers, r.TTFTSurging, r.MovedBytes/1e9, r.SideRequests, r.InFlight)
 }
 
 func summarize(c config, all []stats) result {
@@ -88,20 +91,20 @@
 	n := float64(len(all))
 	for _, s := range all {
 		slices.Sort(s.skews)
-		reuse := s.reused / s.returned
+		reuse := s.reusedTokens / s.returningTokens
 		r.Reuse += reuse / n
 		r.ReuseWorst = min(r.ReuseWorst, reuse)
 		r.SkewP50 += quantile(s.skews, 0.5) / n
 		r.SkewP99 += quantile(s.skews, 0.99) / n
 		r.SkewMax = max(r.SkewMax, quantile(s.skews, 1))
-		r.Held += s.held / max(1, float64(len(s.skews))) / n
+		r.WithinMultiple += s.samplesWithinMultiple / max(1, float64(len(s.skews))) / n
 		r.Refused += float64(s.refused) / float64(s.requests) / n
-		r.TTFTOthers += p99(s.others) / n
-		r.TTFTSurging += p99(s.surging) / n
-		r.MovedBytes += s.moved / n
-		r.ControlBytes += s.control / n
-		r.Asks += float64(s.asks) / float64(s.requests) / n
-		r.InFlight += s.inFlight / max(1, float64(s.samples)) / n
+		r.TTFTOthers += p99(s.ttftOthers) / n
+		r.TTFTSurging += p99(s.ttftSurging) / n
+		r.MovedBytes += s.movedBytes / n
+		r.ControlRate += s.controlRate / n
+		r.SideRequests += float64(s.sideRequests) / float64(s.requests) / n
+		r.InFlight += s.inFlightSum / max(1, float64(s.samples)) / n
 	}
 	return r
 }
@@ -120,21 +123,21 @@
 
 func parseInts(text string) []int {
 	var list []int
-	for _, f := range parseFloats(text) {
-		list = append(list, int(f))
+	for _, number := range parseFloats(text) {
+		list = append(list, int(number))
 	}
 	return list
 }
 
 func parseFloats(text string) []float64 {
 	var list []float64
-	for _, one := range strings.Split(text, ",") {
-		var f float64
-		if _, err := fmt.Sscan(one, &f); err != nil {
-			fmt.Fprintln(os.Stderr, "bad number", one)
+	for _, field := range strings.Split(text, ",") {
+		var number float64
+		if _, err := fmt.Sscan(field, &number); err != nil {
+			fmt.Fprintln(os.Stderr, "invalid number", field)
 			os.Exit(2)
 		}
-		list = append(list, f)
+		list = append(list, number)
 	}
 	return list
 }
--- a/core/internal/benchdecisions/sim.go
+++ b/core/internal/benchdecisions/sim.go
@@ -13,39 +13,39 @@
 	"rattantrack.dev/core/settings"
 )
 
-// Shape of the runs; times in seconds of the virtual clock.
+// Parameters of the simulation. Times are in seconds of the virtual clock.
 const (
-	arrivalRate   = 2.0 // requests an engine a second
-	chatsPer      = 100 // chats an engine
-	routers       = 4
-	duration      = 300.0
-	longDuration  = 90.0 // with many engines
-	warmUp        = 40.0
-	sampleEvery   = 0.25
-	churnEvery    = 60.0
-	churnLength   = 30.0
-	noticeMax     = 5.0
-	silenceLimit  = 2.0
-	prefillRate   = 4000.0
-	decodeRate    = 30.0
-	maxRunning    = 32
-	fullSpeed     = 16 // streams that run at full speed
-	cacheTokens   = 600_000
-	kvBytes       = 128 << 10 // bytes of KV cache a token
-	transferRate  = 10e9      // bytes a second between engines
-	surgeFactor   = 10
-	hotChats      = 60
-	manyEngines   = 200
-	minInFlight   = 8
-	surgingTeam   = settings.TeamID("team-0")
-	teamCount     = 10
-	maxContext    = 12_000
-	newChatChance = 0.08
+	arrivalRate        = 2.0 // requests per engine per second
+	chatsPerEngine     = 100
+	routerCount        = 4
+	runDuration        = 300.0
+	largeFleetDuration = 90.0 // of fleets with largeFleetEngines or more
+	warmUp             = 40.0 // time before requests are measured
+	sampleInterval     = 0.25
+	churnInterval      = 60.0
+	outageDuration     = 30.0
+	maxRemovalDelay    = 5.0       // until the routers have removed an engine that went down
+	responseTimeout    = 2.0       // until a router gives up on an unresponsive engine
+	prefillRate        = 4000.0    // tokens per second per engine
+	decodeRate         = 30.0      // tokens per second per stream
+	maxRunning         = 32        // requests per engine
+	fullSpeedStreams   = 16        // streams per engine that run at decodeRate; more streams share the same total rate
+	cacheCapacity      = 600_000   // tokens per engine
+	kvBytesPerToken    = 128 << 10 // size of the KV cache
+	transferRate       = 10e9      // bytes per second between engines
+	surgeFactor        = 10        // multiplies the arrival rate of the surging team
+	surgingTeamChats   = 60        // chats of the surging team for every 20 engines
+	largeFleetEngines  = 200
+	minInFlight        = 8 // requests per engine; the skew is measured only above it
+	surgingTeam        = settings.TeamID("team-0")
+	teamCount          = 10
+	maxContextTokens   = 12_000 // a chat that exceeds it continues with a shorter context
+	newChatProbability = 0.08
 )
 
 var scenarioNames = []string{"calm", "surge", "churn", "churn_surge", "view_disagreement", "silent_engine", "stale_mean"}
 
-// config is one row of the table.
+// config is one combination of fleet size, multiple, scenario and policy.
 type config struct {
 	engines  int
 	multiple float64
@@ -53,118 +53,119 @@
 	policy   string
 }
 
-// stats is what one run has measured.
+// stats holds the sums and samples of one run.
 type stats struct {
-	requests, refused, asks, samples int
-	reused, returned, held, moved    float64
-	control, inFlight                float64
-	skews, others, surging           []float64
+	requests, refused, sideRequests, samples                         int
+	reusedTokens, returningTokens, samplesWithinMultiple, movedBytes float64
+	controlRate, inFlightSum                                         float64
+	skews, ttftOthers, ttftSurging                                   []float64
 }
 
-// event is something that happens at an instant.
+// event is a function that runs at a time of the virtual clock.
 type event struct {
 	at  float64
 	run func()
 }
 
-type events []event
+// eventHeap orders events by time and implements heap.Interface.
+type eventHeap []event
 
-func (e events) Len() int           { return len(e) }
-func (e events) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e events) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (h eventHeap) Len() int           { return len(h) }
+func (h eventHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h eventHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push adds an event.
-func (e *events) Push(x any) { *e = append(*e, x.(event)) }
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
 
 // Pop removes the last event.
-func (e *events) Pop() any {
-	old := *e
+func (h *eventHeap) Pop() any {
+	old := *h
 	last := old[len(old)-1]
-	*e = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return last
 }
 
-// chat is one chat that may return.
+// chat is a sequence of requests whose context grows with each request.
 type chat struct {
-	id      uint64
-	team    settings.TeamID
-	context float64
-	known   bool
+	id            uint64
+	team          settings.TeamID
+	contextTokens float64
+	returning     bool // it had a request before, or its context was cached at the start
 }
 
-// sim is one run.
+// sim is the state of one run.
 type sim struct {
 	config
-	rng     *rand.Rand
-	now     float64
-	queue   events
-	engines []*engine
-	index   map[settings.UpstreamID]int
-	chats   []*chat
-	hot     []*chat
-	policy  policy
-	stats   stats
-	end     float64
+	rng          *rand.Rand
+	now          float64
+	pending      eventHeap
+	engines      []*engine
+	engineIndex  map[settings.UpstreamID]int
+	chats        []*chat
+	surgingChats []*chat
+	policy       policy
+	stats        stats
+	end          float64
 }
 
 func newSim(c config, seed uint64) *sim {
-	s := &sim{config: c, rng: rand.New(rand.NewPCG(seed, 7)), index: make(map[settings.UpstreamID]int), end: duration}
-	if c.engines >= manyEngines {
-		s.end = longDuration
+	s := &sim{config: c, rng: rand.New(rand.NewPCG(seed, 7)), engineIndex: make(map[settings.UpstreamID]int), end: runDuration}
+	if c.engines >= largeFleetEngines {
+		s.end = largeFleetDuration
 	}
 	for i := range c.engines {
 		e := newEngine(i)
 		s.engines = append(s.engines, e)
-		s.index[e.id] = i
+		s.engineIndex[e.id] = i
 	}
-	for range c.engines * chatsPer {
-		s.chats = append(s.chats, s.newChat(s.team()))
+	for range c.engines * chatsPerEngine {
+		s.chats = append(s.chats, s.newChat(s.drawTeam()))
 	}
-	for range hotChats * max(1, c.engines/20) {
-		s.hot = append(s.hot, s.newChat(surgingTeam))
+	for range surgingTeamChats * max(1, c.engines/20) {
+		s.surgingChats = append(s.surgingChats, s.newChat(surgingTeam))
 	}
 	s.policy = newPolicy(s)
-	s.warm()
+	s.fillCaches()
 	return s
 }
 
-// warm begins with every chat cached at the engine that ranks first for it.
-func (s *sim) warm() {
+// fillCaches stores the context of each chat at its primary, the engine that ranks first for it.
+func (s *sim) fillCaches() {
 	var ids []settings.UpstreamID
 	for _, e := range s.engines {
 		ids = append(ids, e.id)
 	}
 	set := rendezvous.New(ids)
-	for _, c := range slices.Concat(s.chats, s.hot) {
-		home, _ := set.Home(c.id)
-		s.engines[s.index[home]].store(c.id, c.context)
-		s.policy.warm(c, s.engines[s.index[home]])
-		c.known = true
-		c.context += 200
+	for _, c := range slices.Concat(s.chats, s.surgingChats) {
+		primary, _ := set.Home(c.id)
+		s.engines[s.engineIndex[primary]].store(c.id, c.contextTokens)
+		s.policy.cacheFilled(c, s.engines[s.engineIndex[primary]])
+		c.returning = true
+		c.contextTokens += 200
 	}
 }
 
-// team draws a team; a few are large.
-func (s *sim) team() settings.TeamID {
+// drawTeam draws a team for a chat. It draws team-1 most often and team-0, the surging team, least often.
+func (s *sim) drawTeam() settings.TeamID {
 	i := min(s.rng.IntN(teamCount), s.rng.IntN(teamCount))
 	return settings.TeamID("team-" + string(rune('0'+(i+1)%teamCount)))
 }
 
 func (s *sim) newChat(team settings.TeamID) *chat {
-	c := &chat{id: s.rng.Uint64(), team: team, context: 300 + 1200*s.rng.Float64()}
+	c := &chat{id: s.rng.Uint64(), team: team, contextTokens: 300 + 1200*s.rng.Float64()}
 	if s.rng.Float64() < 0.4 {
-		c.context = 2000 + 6000*s.rng.Float64()
+		c.contextTokens = 2000 + 6000*s.rng.Float64()
 	}
 	return c
 }
 
-func (s *sim) at(t float64, run func()) { heap.Push(&s.queue, event{at: t, run: run}) }
+func (s *sim) schedule(t float64, run func()) { heap.Push(&s.pending, event{at: t, run: run}) }
 
 func (s *sim) instant() clock.Instant {
 	return clock.Instant(time.Hour) + clock.Instant(s.now*float64(time.Second))
 }
 
-func (s *sim) is(names ...string) bool {
+func (s *sim) isScenario(names ...string) bool {
 	for _, name := range names {
 		if s.scenario == name {
 			return true
@@ -174,121 +175,123 @@
 }
 
 func (s *sim) run() stats {
-	s.at(0, s.arrive)
-	s.every(sampleEvery, s.sample)
-	s.every(meanload.ExchangeInterval.Seconds(), s.policy.round)
-	if s.is("churn", "churn_surge") {
-		s.every(churnEvery, func() { s.lose(noticeMax) })
+	s.schedule(0, s.arrive)
+	s.scheduleEvery(sampleInterval, s.sampleLoad)
+	s.scheduleEvery(meanload.ExchangeInterval.Seconds(), s.policy.tick)
+	if s.isScenario("churn", "churn_surge") {
+		s.scheduleEvery(churnInterval, func() { s.loseEngine(maxRemovalDelay) })
 	}
-	if s.is("silent_engine") {
-		s.every(churnEvery, func() { s.lose(-1) })
+	if s.isScenario("silent_engine") {
+		s.scheduleEvery(churnInterval, func() { s.loseEngine(-1) })
 	}
-	for len(s.queue) > 0 && s.now < s.end {
-		e := heap.Pop(&s.queue).(event)
+	for len(s.pending) > 0 && s.now < s.end {
+		e := heap.Pop(&s.pending).(event)
 		s.now = e.at
 		e.run()
 	}
-	s.stats.control = s.policy.control()
+	s.stats.controlRate = s.policy.controlRate()
 	return s.stats
 }
 
-func (s *sim) every(interval float64, run func()) {
-	var again func()
-	again = func() {
+func (s *sim) scheduleEvery(interval float64, run func()) {
+	var repeat func()
+	repeat = func() {
 		run()
-		s.at(s.now+interval, again)
+		s.schedule(s.now+interval, repeat)
 	}
-	s.at(interval, again)
+	s.schedule(interval, repeat)
 }
 
-func (s *sim) surge() bool {
-	return s.is("surge", "churn_surge") && s.now > s.end*0.4 && s.now < s.end*0.8
+func (s *sim) surgeActive() bool {
+	return s.isScenario("surge", "churn_surge") && s.now > s.end*0.4 && s.now < s.end*0.8
 }
 
-// arrive makes one request and plans the next.
+// arrive submits one request and schedules the next arrival.
 func (s *sim) arrive() {
 	rate := arrivalRate * float64(s.config.engines)
 	teamRate := rate * 0.02
 	extra := 0.0
-	if s.surge() {
+	if s.surgeActive() {
 		extra = teamRate * (surgeFactor - 1)
 	}
-	s.at(s.now+s.rng.ExpFloat64()/(rate+extra), s.arrive)
-	c := s.draw(s.rng.Float64()*(rate+extra) < extra+teamRate)
+	s.schedule(s.now+s.rng.ExpFloat64()/(rate+extra), s.arrive)
+	c := s.drawChat(s.rng.Float64()*(rate+extra) < extra+teamRate)
 	s.submit(newRequest(s, c))
 }
 
-// draw picks the chat of the next request: mostly one that returns.
-func (s *sim) draw(hot bool) *chat {
-	if hot {
-		return s.hot[s.rng.IntN(len(s.hot))]
+// drawChat draws the chat of the next request. Outside the surging team's list, it may replace a chat by a new one.
+func (s *sim) drawChat(surging bool) *chat {
+	if surging {
+		return s.surgingChats[s.rng.IntN(len(s.surgingChats))]
 	}
 	i := s.rng.IntN(len(s.chats))
-	if s.rng.Float64() < newChatChance {
-		s.chats[i] = s.newChat(s.team())
+	if s.rng.Float64() < newChatProbability {
+		s.chats[i] = s.newChat(s.drawTeam())
 	}
 	return s.chats[i]
 }
 
-// sample notes the skew of the load carried.
-func (s *sim) sample() {
+// sampleLoad records the skew, which is the largest load of an available engine divided by the mean load.
+func (s *sim) sampleLoad() {
 	if s.now < warmUp {
 		return
 	}
-	var sum, largest, flight, live float64
+	var sum, largest, inFlight, available float64
 	for _, e := range s.engines {
-		if e.down || e.silent {
+		if e.down || e.unresponsive {
 			continue
 		}
-		live++
+		available++
 		sum += float64(e.load)
 		largest = max(largest, float64(e.load))
-		flight += float64(len(e.running) + e.scheduler.Queued())
+		inFlight += float64(len(e.running) + e.scheduler.Queued())
 	}
 	s.stats.samples++
-	s.stats.inFlight += flight / live
-	if flight/live <= minInFlight {
+	s.stats.inFlightSum += inFlight / available
+	if inFlight/available <= minInFlight {
 		return
 	}
-	skew := largest * live / sum
+	skew := largest * available / sum
 	s.stats.skews = append(s.stats.skews, skew)
 	if skew <= s.multiple {
-		s.stats.held++
+		s.stats.samplesWithinMultiple++
 	}
 }
 
-// lose takes one engine away for a while; with notice below zero it falls silent instead of refusing connections.
-func (s *sim) lose(notice float64) {
+// loseEngine makes a random engine fail for outageDuration. If maxDelay is negative, the engine becomes unresponsive.
+// Otherwise it refuses connections, and the routers remove it after a random delay of at most maxDelay.
+// The engine's requests are submitted again, after responseTimeout if the engine is unresponsive.
+func (s *sim) loseEngine(maxDelay float64) {
 	e := s.engines[s.rng.IntN(len(s.engines))]
-	if e.down || e.silent {
+	if e.down || e.unresponsive {
 		return
 	}
-	lost := e.fail(notice < 0)
-	if notice >= 0 {
-		s.policy.left(e, s.rng.Float64()*notice)
+	lost := e.fail(maxDelay < 0)
+	if maxDelay >= 0 {
+		s.policy.scheduleRemoval(e, s.rng.Float64()*maxDelay)
 	}
 	delay := 0.0
-	if notice < 0 {
-		delay = silenceLimit
+	if maxDelay < 0 {
+		delay = responseTimeout
 	}
 	for _, r := range lost {
-		s.at(s.now+delay, func() { s.submit(r.resumed()) })
+		s.schedule(s.now+delay, func() { s.submit(r.detach()) })
 	}
-	s.at(s.now+churnLength, func() {
-		e.recover()
-		s.policy.back(e)
+	s.schedule(s.now+outageDuration, func() {
+		e.reset()
+		s.policy.engineRecovered(e)
 	})
 }
 
-// submit places a request, now or after the time that asking a silent engine costs.
+// submit places a request and delivers it after the time spent on unresponsive engines.
 func (s *sim) submit(r *request) {
 	p := s.policy.place(r)
 	if r.counted {
-		s.stats.asks += p.asks
+		s.stats.sideRequests += p.sideRequests
 	} else if s.now >= warmUp {
 		r.counted = true
 		s.stats.requests++
-		s.stats.asks += p.asks
+		s.stats.sideRequests += p.sideRequests
 	}
 	if !p.ok {
 		if r.counted {
@@ -296,22 +299,22 @@
 		}
 		return
 	}
-	s.at(s.now+p.delay, func() { s.begin(r, p) })
+	s.schedule(s.now+p.delay, func() { s.deliver(r, p) })
 }
 
-// begin gives a request to its engine, or places it again if that has gone.
-func (s *sim) begin(r *request, p placement) {
+// deliver hands a request to its engine, or places it again if the engine has failed in the meantime.
+func (s *sim) deliver(r *request, p placement) {
 	e := s.engines[p.engine]
-	if e.down || e.silent {
-		s.policy.gaveUp(r, e)
+	if e.down || e.unresponsive {
+		s.policy.deliveryFailed(r, e)
 		s.submit(r)
 		return
 	}
-	e.take(s, r, p)
+	e.enqueue(s, r, p)
 }
 
-// teamItem returns the scheduler's view of a request.
-func (s *sim) teamItem(r *request, start func()) *fairqueue.Item {
-	return &fairqueue.Item{Team: r.chat.team, Share: 1, Priority: settings.PriorityNormal, Work: settings.Tokens(r.decode),
+// queueItem returns the request's item for the fair queue of an engine.
+func (s *sim) queueItem(r *request, start func()) *fairqueue.Item {
+	return &fairqueue.Item{Team: r.chat.team, Share: 1, Priority: settings.PriorityNormal, Work: settings.Tokens(r.decodeTokens),
 		Deadline: s.instant().Add(time.Minute), Start: start}
 }
