--- a/core/admission/controller.go
+++ b/core/admission/controller.go
@@ -225,8 +225,8 @@
 	}
 }
 
-// FirstToken takes the prefill part of a request's charge off the load; call it when the first token arrives.
-func (c *Controller) FirstToken(decision *Decision) {
+// RecordFirstToken takes the prefill part of a request's charge off the load; call it when the first token arrives.
+func (c *Controller) RecordFirstToken(decision *Decision) {
 	c.load -= decision.Prefill
 	decision.Charge -= decision.Prefill
 	decision.Prefill = 0
--- a/core/admission/controller_test.go
+++ b/core/admission/controller_test.go
@@ -18,8 +18,8 @@
 // controller returns the controller of a side with a mean load of 1000, one less loaded and one more loaded side.
 func controller() *Controller {
 	c := &Controller{Self: "self", Policy: Policy{Multiple: 1.25, PrefillWeight: 0.1, CanImport: true}}
-	c.Estimator.Merge(start, 1000, meanload.Sample{Side: "light", Load: 800, Mean: 1000, Known: true})
-	c.Estimator.Merge(start, 1000, meanload.Sample{Side: "heavy", Load: 1200, Mean: 1000, Known: true})
+	c.Estimator.Merge(start, 1000, meanload.Sample{Side: "light", Load: 800, Mean: 1000, MeanKnown: true})
+	c.Estimator.Merge(start, 1000, meanload.Sample{Side: "heavy", Load: 1200, Mean: 1000, MeanKnown: true})
 	return c
 }
 
@@ -96,7 +96,7 @@
 			case 1:
 				if len(open) > 0 {
 					want -= open[0].Prefill
-					c.FirstToken(open[0])
+					c.RecordFirstToken(open[0])
 				}
 			case 2:
 				if len(open) > 0 {
--- a/core/directory/update.go
+++ b/core/directory/update.go
@@ -42,14 +42,14 @@
 	return fmt.Sprintf("the history after position %d is no longer available", e.After)
 }
 
-// UnavailableError reports a response of the directory with a status other than 200.
-type UnavailableError struct {
+// StatusError reports a response of the directory with a status other than 200.
+type StatusError struct {
 	Call   string
 	Status int
 	// RetryAfter is the pause that the directory requested, 0 if none.
 	RetryAfter time.Duration
 }
 
-func (e *UnavailableError) Error() string {
+func (e *StatusError) Error() string {
 	return fmt.Sprintf("%s returned status %d", e.Call, e.Status)
 }
--- a/core/gossip/service.go
+++ b/core/gossip/service.go
@@ -160,7 +160,7 @@
 		s.peers.Drop(address)
 		return
 	}
-	theirs, err := peer.Ask[*peer.Announce](ctx, link, s.announcement(), requestTimeout)
+	theirs, err := peer.Request[*peer.Announce](ctx, link, s.announcement(), requestTimeout)
 	if err != nil {
 		s.peers.Drop(address)
 		return
@@ -204,7 +204,7 @@
 	}
 	since := local.Revision
 	for range 2 {
-		reply, err := peer.Ask[*peer.DeltaReply](ctx, link, &peer.Pull{Since: since}, requestTimeout)
+		reply, err := peer.Request[*peer.DeltaReply](ctx, link, &peer.Pull{Since: since}, requestTimeout)
 		if err != nil {
 			return
 		}
--- a/core/gossip/service_test.go
+++ b/core/gossip/service_test.go
@@ -73,7 +73,7 @@
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		c.Assert(err, qt.IsNil)
 		self := &node{store: &revision.Store{}, address: ln.Addr().String(), cut: make(map[string]bool)}
-		self.endpoint = &peer.Endpoint{Handler: self, Allow: allow, Local: func() peer.Hello {
+		self.endpoint = &peer.Endpoint{Handler: self, Allow: allow, LocalHello: func() peer.Hello {
 			return peer.Hello{Protocol: peer.ProtocolVersion, ID: fmt.Sprint(i)}
 		}}
 		self.service = &Service{Store: self.store, Dialer: self, Log: log.New(io.Discard), Candidates: func() []string {
--- a/core/internal/benchdecisions/policy.go
+++ b/core/internal/benchdecisions/policy.go
@@ -115,7 +115,7 @@
 		}
 		return first
 	case "rendezvous":
-		primary, _ := b.available.Home(r.chat.id)
+		primary, _ := b.available.Primary(r.chat.id)
 		return b.sim.engineIndex[primary]
 	case "bounded_router":
 		return b.chooseBounded(r, router)
--- a/core/internal/benchdecisions/rattantrack.go
+++ b/core/internal/benchdecisions/rattantrack.go
@@ -99,7 +99,7 @@
 func (rt *rattantrack) decide(
 	r *request, e *engine, step candidates.Step, cacheOwner settings.UpstreamID, moved bool,
 ) admission.Decision {
-	primary, _ := rt.allEngines.Home(r.chat.id)
+	primary, _ := rt.allEngines.Primary(r.chat.id)
 	return rt.controllers[e.index].Decide(rt.sim.instant(), admission.Request{
 		Chat:          r.chat.id,
 		PromptTokens:  settings.Tokens(r.promptTokens),
@@ -147,7 +147,7 @@
 
 func (rt *rattantrack) firstToken(r *request) {
 	side := rt.controllers[r.engine.index]
-	side.FirstToken(&r.decision)
+	side.RecordFirstToken(&r.decision)
 	side.Prefixes.RecordStored(r.chat.id, settings.Tokens(r.promptTokens))
 }
 
@@ -197,7 +197,7 @@
 		Service:   "letterhouse",
 		Load:      float32(s.Load),
 		Mean:      float32(s.Mean),
-		MeanKnown: s.Known,
+		MeanKnown: s.MeanKnown,
 	}
 	n, err := peer.FrameSize(m)
 	if err != nil {
@@ -287,7 +287,7 @@
 	}
 	e.finish(rt.sim, r)
 	p := placement{engine: to.index, ok: true}
-	primary, _ := rt.allEngines.Home(r.chat.id)
+	primary, _ := rt.allEngines.Primary(r.chat.id)
 	rt.recordAdmission(r, to, primary, decision, &p)
 	rt.sim.deliver(r, p)
 	return true
--- a/core/internal/benchdecisions/sim.go
+++ b/core/internal/benchdecisions/sim.go
@@ -137,7 +137,7 @@
 	}
 	set := rendezvous.New(ids)
 	for _, c := range slices.Concat(s.chats, s.surgingChats) {
-		primary, _ := set.Home(c.id)
+		primary, _ := set.Primary(c.id)
 		s.engines[s.engineIndex[primary]].store(c.id, c.contextTokens)
 		s.policy.cacheFilled(c, s.engines[s.engineIndex[primary]])
 		c.returning = true
--- a/core/meanload/estimator.go
+++ b/core/meanload/estimator.go
@@ -28,10 +28,10 @@
 
 // Sample is the message that each side sends in an exchange. Mean is valid if Known is true.
 type Sample struct {
-	Side  settings.UpstreamID
-	Load  settings.Tokens
-	Mean  settings.Tokens
-	Known bool
+	Side      settings.UpstreamID
+	Load      settings.Tokens
+	Mean      settings.Tokens
+	MeanKnown bool
 }
 
 // Estimator holds one side's estimate of the mean load and the lowest loads reported to it. The zero value has no estimate.
@@ -62,7 +62,7 @@
 // Sample returns the sample to send to another side; own is the current load of this side.
 func (e *Estimator) Sample(now clock.Instant, self settings.UpstreamID, own settings.Tokens) Sample {
 	m, known := e.Mean(now)
-	return Sample{Side: self, Load: own, Mean: m, Known: known}
+	return Sample{Side: self, Load: own, Mean: m, MeanKnown: known}
 }
 
 // Merge updates the estimate with another side's sample. Both sides of an exchange call it, so averaging keeps the sum of
@@ -72,11 +72,11 @@
 	estimate := current
 	mine, known := e.Mean(now)
 	switch {
-	case known && other.Known:
+	case known && other.MeanKnown:
 		estimate = (mine + other.Mean) / 2
 	case known:
 		estimate = mine
-	case other.Known:
+	case other.MeanKnown:
 		estimate = other.Mean
 	}
 	e.mean = (1-currentWeight)*estimate + currentWeight*current
--- a/core/meanload/estimator_test.go
+++ b/core/meanload/estimator_test.go
@@ -119,8 +119,8 @@
 	c := qt.New(t)
 	now := clock.Instant(time.Hour)
 	e := &Estimator{}
-	e.Merge(now, 1000, Sample{Side: "old", Load: 500, Mean: 1000, Known: true})
-	e.Merge(now.Add(1900*time.Millisecond), 1000, Sample{Side: "new", Load: 600, Mean: 1000, Known: true})
+	e.Merge(now, 1000, Sample{Side: "old", Load: 500, Mean: 1000, MeanKnown: true})
+	e.Merge(now.Add(1900*time.Millisecond), 1000, Sample{Side: "new", Load: 600, Mean: 1000, MeanKnown: true})
 	side, _, ok := e.LeastLoaded(now.Add(1900 * time.Millisecond))
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(side, qt.Equals, settings.UpstreamID("new"))
--- a/core/outcome/outcome_test.go
+++ b/core/outcome/outcome_test.go
@@ -22,8 +22,8 @@
 func keyMoving(first, second *rendezvous.Set, from, to settings.UpstreamID) string {
 	for i := 0; ; i++ {
 		key := fmt.Sprint("key-", i)
-		a, _ := first.Home(HashKey(key))
-		b, _ := second.Home(HashKey(key))
+		a, _ := first.Primary(HashKey(key))
+		b, _ := second.Primary(HashKey(key))
 		if a == from && b == to {
 			return key
 		}
--- a/core/outcome/primaries.go
+++ b/core/outcome/primaries.go
@@ -42,7 +42,7 @@
 	if e.possiblePrimaries != nil {
 		return e.possiblePrimaries
 	}
-	primary, _ := e.set.Home(hash)
+	primary, _ := e.set.Primary(hash)
 	return append(buf, primary)
 }
 
@@ -284,7 +284,7 @@
 	if p.set == nil {
 		return "", false
 	}
-	return p.set.Home(HashKey(key))
+	return p.set.Primary(HashKey(key))
 }
 
 // Confirm reports whether this side is primary of a key and can rule out an earlier run of it.
--- a/core/peer/declarations.go
+++ b/core/peer/declarations.go
@@ -26,5 +26,5 @@
 	Delta revision.Delta
 }
 
-// Kind returns KindDelta.
+// Kind returns KindDeltaReply.
 func (*DeltaReply) Kind() Kind { return KindDeltaReply }
--- a/core/peer/dial.go
+++ b/core/peer/dial.go
@@ -54,10 +54,10 @@
 
 // Endpoint accepts and dials links for one process. It keeps dialled links by address and dials again after one has ended.
 type Endpoint struct {
-	// Local returns the Hello of this process.
-	Local   func() Hello
-	Handler Handler
-	Allow   Networks
+	// LocalHello returns the Hello of this process.
+	LocalHello func() Hello
+	Handler    Handler
+	Allow      Networks
 	// OnReject is called for each rejected connection.
 	OnReject func(err error)
 	// Identity encrypts the links and authenticates both ends to each other. Without it, links are plain TCP.
@@ -111,7 +111,7 @@
 	if e.Identity != nil {
 		conn = tls.Server(conn, e.Identity.ServerConfig())
 	}
-	l, err := newLink(ctx, conn, e.Local(), false)
+	l, err := newLink(ctx, conn, e.LocalHello(), false)
 	if err != nil {
 		e.reject(err)
 		return
@@ -245,7 +245,7 @@
 	if e.Identity != nil {
 		conn = tls.Client(conn, e.Identity.ClientConfig())
 	}
-	l, err := newLink(ctx, conn, e.Local(), true)
+	l, err := newLink(ctx, conn, e.LocalHello(), true)
 	if err != nil {
 		return nil, errors.Wrapf(err, "handshake with %s", address)
 	}
--- a/core/peer/keys.go
+++ b/core/peer/keys.go
@@ -24,8 +24,8 @@
 type Claim struct {
 	From    settings.UpstreamID
 	Service settings.ServiceName
-	// Ended is the revision that may have moved keys away from the receiving side.
-	Ended settings.Revision
+	// MovedBy is the revision that may have moved keys away from the receiving side.
+	MovedBy settings.Revision
 	// Restarted reports that the claiming process has just started and also requests the handover of its predecessor.
 	Restarted bool
 }
@@ -37,9 +37,9 @@
 type Handover struct {
 	From    settings.UpstreamID
 	Service settings.ServiceName
-	// Ended is the revision that the claim named, and Revision the one in force at the sender. The sender runs no key
+	// MovedBy is the revision that the claim named, and Revision the one in force at the sender. The sender runs no key
 	// that either of them moves to another side.
-	Ended    settings.Revision
+	MovedBy  settings.Revision
 	Revision settings.Revision
 	// Covered reports whether the sender could itself rule out unknown earlier runs of the keys that it was the primary of.
 	Covered bool
@@ -57,7 +57,7 @@
 type HandoverAck struct {
 }
 
-// Kind returns KindKept.
+// Kind returns KindHandoverAck.
 func (*HandoverAck) Kind() Kind { return KindHandoverAck }
 
 // LeavingLease is how long a router's report that a side is listed as leaving is valid without renewal.
@@ -68,7 +68,7 @@
 	Chat uint64
 }
 
-// Kind returns KindFetch.
+// Kind returns KindFetchPrefix.
 func (*FetchPrefix) Kind() Kind { return KindFetchPrefix }
 
 // Leaving from a side reports that it takes no more work. From a router it reports that the receiving side is listed as
--- a/core/peer/link_test.go
+++ b/core/peer/link_test.go
@@ -43,7 +43,7 @@
 	t.Helper()
 	n, err := ParseNetworks([]string{allow})
 	qt.Assert(t, err, qt.IsNil)
-	e := &Endpoint{Local: func() Hello { return Hello{Protocol: ProtocolVersion, ID: "test"} }, Handler: h, Allow: n}
+	e := &Endpoint{LocalHello: func() Hello { return Hello{Protocol: ProtocolVersion, ID: "test"} }, Handler: h, Allow: n}
 	t.Cleanup(e.Close)
 	return e
 }
@@ -153,7 +153,7 @@
 	_, err = bufio.NewReader(conn).ReadBytes(0)
 	var timeout net.Error
 	c.Assert(errors.As(err, &timeout) && timeout.Timeout(), qt.IsFalse)
-	end, err := Ask[*End](ctx, good, &Submit{}, time.Second)
+	end, err := Request[*End](ctx, good, &Submit{}, time.Second)
 	c.Assert(err, qt.IsNil)
 	c.Assert(end.Chunks, qt.Equals, uint32(0))
 }
--- a/core/peer/load.go
+++ b/core/peer/load.go
@@ -14,5 +14,5 @@
 	MeanKnown bool
 }
 
-// Kind returns KindExchange.
+// Kind returns KindLoadExchange.
 func (*LoadExchange) Kind() Kind { return KindLoadExchange }
--- a/core/peer/request.go
+++ b/core/peer/request.go
@@ -71,20 +71,20 @@
 
 // The reasons for a refusal.
 const (
-	RefuseLeaving       RefuseCode = "leaving"
-	RefuseOverloaded    RefuseCode = "overloaded"
-	RefuseHeldElsewhere RefuseCode = "held_elsewhere"
-	RefuseDeadline      RefuseCode = "deadline_too_short"
-	RefuseTableFull     RefuseCode = "table_full"
-	RefuseNotPrimary    RefuseCode = "not_home"
-	RefusePrimaryUnsure RefuseCode = "home_cannot_rule_out_an_earlier_run"
-	RefuseKeyReused     RefuseCode = "key_reused"
-	RefuseIncarnation   RefuseCode = "upstream_was_replaced"
-	RefuseTicket        RefuseCode = "ticket_invalid"
-	RefuseCancelled     RefuseCode = "attempt_was_cancelled"
-	RefuseResultLost    RefuseCode = "earlier_run_without_result"
-	RefuseProfile       RefuseCode = "unknown_profile"
-	RefuseUpstream      RefuseCode = "upstream_unreachable"
+	RefuseLeaving             RefuseCode = "leaving"
+	RefuseOverloaded          RefuseCode = "overloaded"
+	RefuseHeldElsewhere       RefuseCode = "held_elsewhere"
+	RefuseDeadline            RefuseCode = "deadline_too_short"
+	RefuseTableFull           RefuseCode = "table_full"
+	RefuseNotPrimary          RefuseCode = "not_home"
+	RefusePrimaryUnsure       RefuseCode = "home_cannot_rule_out_an_earlier_run"
+	RefuseKeyReused           RefuseCode = "key_reused"
+	RefuseIncarnation         RefuseCode = "upstream_was_replaced"
+	RefuseTicketInvalid       RefuseCode = "ticket_invalid"
+	RefuseCancelled           RefuseCode = "attempt_was_cancelled"
+	RefuseResultLost          RefuseCode = "earlier_run_without_result"
+	RefuseUnknownProfile      RefuseCode = "unknown_profile"
+	RefuseUpstreamUnreachable RefuseCode = "upstream_unreachable"
 )
 
 // Refuse reports that the attempt was not run and never will be.
@@ -163,7 +163,7 @@
 	Certain bool
 }
 
-// Kind returns KindState.
+// Kind returns KindAttemptState.
 func (*AttemptState) Kind() Kind { return KindAttemptState }
 
 // AttemptQuery requests whether an attempt has started, and prevents its start if it has not.
@@ -174,7 +174,7 @@
 	Remaining time.Duration
 }
 
-// Kind returns KindQuery.
+// Kind returns KindAttemptQuery.
 func (*AttemptQuery) Kind() Kind { return KindAttemptQuery }
 
 // IssueTicket requests a ticket from a side.
@@ -182,7 +182,7 @@
 	Profile settings.ProfileName
 }
 
-// Kind returns KindIssue.
+// Kind returns KindIssueTicket.
 func (*IssueTicket) Kind() Kind { return KindIssueTicket }
 
 // TicketIssued carries a ticket.
@@ -191,7 +191,7 @@
 	Lifetime time.Duration
 }
 
-// Kind returns KindIssued.
+// Kind returns KindTicketIssued.
 func (*TicketIssued) Kind() Kind { return KindTicketIssued }
 
 // ChatPlaced reports to a chat's primary which side served the chat.
@@ -200,5 +200,5 @@
 	Side settings.UpstreamID
 }
 
-// Kind returns KindPlaced.
+// Kind returns KindChatPlaced.
 func (*ChatPlaced) Kind() Kind { return KindChatPlaced }
--- a/core/peer/router.go
+++ b/core/peer/router.go
@@ -20,8 +20,8 @@
 	Cores float64
 	// Open is the number of requests that the router has open at each upstream.
 	Open inflight.Counts
-	// Responsiveness holds the router's observations of upstreams, except those that respond to the requests in Open.
-	Responsiveness unresponsive.Observations
+	// Observations holds the router's observations of upstreams, except those that respond to the requests in Open.
+	Observations unresponsive.Observations
 	// HasCacheEntries reports that the router's cache warm-up is complete, so that it can pass on its cache entries.
 	HasCacheEntries bool
 	// WantsCacheEntries requests all cache entries from a router that has them.
--- a/core/peer/stream.go
+++ b/core/peer/stream.go
@@ -152,8 +152,8 @@
 	return s, nil
 }
 
-// Ask opens a stream with a request message and waits up to limit for one reply of type T.
-func Ask[T Message](ctx context.Context, l *Link, request Message, limit time.Duration) (T, error) {
+// Request opens a stream with a request message and waits up to limit for one reply of type T.
+func Request[T Message](ctx context.Context, l *Link, request Message, limit time.Duration) (T, error) {
 	var zero T
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
--- a/core/peer/tls.go
+++ b/core/peer/tls.go
@@ -33,8 +33,8 @@
 	return i, err
 }
 
-// IdentityOf returns the identity of the named files, or nil if none are named.
-func IdentityOf(files settings.TLS) (*Identity, error) {
+// OptionalIdentity returns the identity of the named files, or nil if none are named.
+func OptionalIdentity(files settings.TLS) (*Identity, error) {
 	if !files.Used() {
 		return nil, nil
 	}
--- a/core/peer/tls_test.go
+++ b/core/peer/tls_test.go
@@ -96,7 +96,7 @@
 			dialler.Identity = test.client
 			l, err := dialler.Dial(ctx, ln.Addr().String())
 			if err == nil {
-				_, err = Ask[*End](ctx, l, &Submit{}, 2*time.Second)
+				_, err = Request[*End](ctx, l, &Submit{}, 2*time.Second)
 			}
 			c.Assert(err == nil, qt.Equals, test.want, qt.Commentf("%v", err))
 		})
--- a/core/rendezvous/set.go
+++ b/core/rendezvous/set.go
@@ -35,8 +35,8 @@
 // IDs returns the upstreams in sorted order; callers must not change it.
 func (s *Set) IDs() []settings.UpstreamID { return s.ids }
 
-// Home returns the primary of a key, the upstream with the highest random weight (Thaler and Ravishankar, 1998).
-func (s *Set) Home(key uint64) (settings.UpstreamID, bool) {
+// Primary returns the primary of a key, the upstream with the highest random weight (Thaler and Ravishankar, 1998).
+func (s *Set) Primary(key uint64) (settings.UpstreamID, bool) {
 	var out [1]settings.UpstreamID
 	if s.Top(key, out[:]) == 0 {
 		return "", false
--- a/core/rendezvous/set_test.go
+++ b/core/rendezvous/set_test.go
@@ -57,8 +57,8 @@
 	before := New(ids)
 	after := New(ids[1:])
 	for key := range uint64(2000) {
-		was, _ := before.Home(mix(key))
-		now, _ := after.Home(mix(key))
+		was, _ := before.Primary(mix(key))
+		now, _ := after.Primary(mix(key))
 		if was != ids[0] {
 			c.Assert(now, qt.Equals, was)
 		}
--- a/core/revision/store.go
+++ b/core/revision/store.go
@@ -83,8 +83,8 @@
 
 // Change is an accepted version with the way to it from the previous one.
 type Change struct {
-	Version Version
-	Fleet   *settings.Declarations
+	Version      Version
+	Declarations *settings.Declarations
 	// Consecutive is set if the version came as a delta and directly follows the previous one.
 	Consecutive bool
 	// Complete is set if Documents does not limit the change: any declaration may differ from the previous version.
@@ -111,7 +111,7 @@
 	defer s.mu.Unlock()
 	s.watchers = append(s.watchers, f)
 	if s.declarations != nil {
-		f(Change{Version: s.version, Fleet: s.declarations, Complete: true})
+		f(Change{Version: s.version, Declarations: s.declarations, Complete: true})
 	}
 }
 
@@ -257,11 +257,11 @@
 		s.compacted = delta.To.Revision
 	}
 	change := Change{
-		Version:     delta.To,
-		Fleet:       declarations,
-		Consecutive: delta.From > 0 && delta.To.Revision == s.version.Revision+1,
-		Complete:    delta.From == 0,
-		Documents:   changed,
+		Version:      delta.To,
+		Declarations: declarations,
+		Consecutive:  delta.From > 0 && delta.To.Revision == s.version.Revision+1,
+		Complete:     delta.From == 0,
+		Documents:    changed,
 	}
 	s.declarations = declarations
 	s.version = delta.To
--- a/core/settings/declarations_test.go
+++ b/core/settings/declarations_test.go
@@ -100,7 +100,7 @@
 		},
 		Limits: map[LimitsName]ClientLimits{ClientLimitsName: {IdleTime: 15 * time.Second}},
 	}
-	first.Default()
+	first.SetDefaults()
 	docs, err := Changes(nil, first, 5)
 	c.Assert(err, qt.IsNil)
 	got, err := newDeclarations().With(docs)
--- a/core/settings/defaults.go
+++ b/core/settings/defaults.go
@@ -17,8 +17,8 @@
 	DefaultMaxOpen        = 1024
 )
 
-// Default sets every field that the operators left out to its default.
-func (d *Declarations) Default() {
+// SetDefaults sets every field that the operators left out to its default.
+func (d *Declarations) SetDefaults() {
 	for name, p := range d.Profiles {
 		d.Profiles[name] = defaultProfile(p)
 	}
--- a/core/settings/load.go
+++ b/core/settings/load.go
@@ -30,7 +30,7 @@
 		}
 		problems = append(problems, found...)
 	}
-	d.Default()
+	d.SetDefaults()
 	for _, p := range d.Validate() {
 		p.File = filepath.Join(dir, p.File)
 		p.Line = nearestLine(lines, p.Field)
--- a/core/settings/process.go
+++ b/core/settings/process.go
@@ -121,8 +121,8 @@
 // DefaultAllow allows only processes on the same machine.
 var DefaultAllow = []string{"127.0.0.0/8"}
 
-// Default sets the fields that the file left out.
-func (r *Router) Default() {
+// SetDefaults sets the fields that the file left out.
+func (r *Router) SetDefaults() {
 	setDefault(&r.NoticeTime, DefaultNoticeTime)
 	if r.GraceTime > 0 {
 		r.NoticeTime = min(r.NoticeTime, r.GraceTime/noticeDivisor)
@@ -145,8 +145,8 @@
 	}
 }
 
-// Default sets the fields that the file left out.
-func (s *Side) Default() {
+// SetDefaults sets the fields that the file left out.
+func (s *Side) SetDefaults() {
 	setDefault(&s.DrainTime, DefaultDrainTime)
 	if len(s.Allow) == 0 {
 		s.Allow = DefaultAllow
--- a/core/settings/process_test.go
+++ b/core/settings/process_test.go
@@ -23,7 +23,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
 			r := Router{GraceTime: tt.grace}
-			r.Default()
+			r.SetDefaults()
 			c.Assert(r.NoticeTime, qt.Equals, tt.notice)
 			c.Assert(r.DrainTime, qt.Equals, tt.drain)
 		})
--- a/core/warmup/assign.go
+++ b/core/warmup/assign.go
@@ -52,6 +52,6 @@
 	for i, address := range routers {
 		ids[i] = settings.UpstreamID(address)
 	}
-	first, _ := rendezvous.New(ids).Home(xxhash.Sum64String(string(engine)))
+	first, _ := rendezvous.New(ids).Primary(xxhash.Sum64String(string(engine)))
 	return string(first)
 }
--- a/router/internal/app/app.go
+++ b/router/internal/app/app.go
@@ -43,7 +43,7 @@
 
 // New returns a Router with the given settings.
 func New(cfg settings.Router, l *log.Logger) (*Router, error) {
-	callerIdentity, err := peer.IdentityOf(cfg.CallerTLS)
+	callerIdentity, err := peer.OptionalIdentity(cfg.CallerTLS)
 	if err != nil {
 		return nil, err
 	}
--- a/router/internal/app/direct.go
+++ b/router/internal/app/direct.go
@@ -140,7 +140,7 @@
 		CacheQueried:    func() []settings.UpstreamID { return d.warmup.Queried() },
 		OnEvents:        d.applyMemberEvents,
 	}
-	d.gossip = &gossip.Service{Store: d.store, Dialer: d.endpoint, Log: d.log, Candidates: d.routers.Known}
+	d.gossip = &gossip.Service{Store: d.store, Dialer: d.endpoint, Log: d.log, Candidates: d.routers.Addresses}
 	d.watcher = &directory.Watcher{
 		Self:      polling.Candidate{Address: d.cfg.Advertise, Cores: d.cfg.Direct.Cores},
 		Routers:   d.routers,
@@ -265,10 +265,10 @@
 
 // applyDeclarations gives the client server the routing table of an accepted version of the declarations.
 func (d *Direct) applyDeclarations(c revision.Change) {
-	table := routing.New(c.Fleet, c.Version.Revision)
+	table := routing.New(c.Declarations, c.Version.Revision)
 	d.client.SetTable(table)
-	d.log.Info("declarations in force", "revision", c.Version.Revision, "changed", len(c.Documents), "routes", len(c.Fleet.Routes),
-		"teams", len(c.Fleet.Teams), "idle_time", table.Limits.IdleTime, "header_time", table.Limits.HeaderTime)
+	d.log.Info("declarations in force", "revision", c.Version.Revision, "changed", len(c.Documents), "routes", len(c.Declarations.Routes),
+		"teams", len(c.Declarations.Teams), "idle_time", table.Limits.IdleTime, "header_time", table.Limits.HeaderTime)
 }
 
 // ready reports whether the load balancer should send connections.
--- a/router/internal/app/endpoint.go
+++ b/router/internal/app/endpoint.go
@@ -16,17 +16,17 @@
 	if err != nil {
 		return nil, "", err
 	}
-	identity, err := peer.IdentityOf(cfg.PeerTLS)
+	identity, err := peer.OptionalIdentity(cfg.PeerTLS)
 	if err != nil {
 		return nil, "", err
 	}
 	incarnation := peer.Incarnation(uuid.NewString())
 	return &peer.Endpoint{
-		Local:    func() peer.Hello { return newHello(cfg, store, incarnation) },
-		Handler:  h,
-		Allow:    allow,
-		Identity: identity,
-		OnReject: func(err error) { l.Warn("peer turned away", "error", err) },
+		LocalHello: func() peer.Hello { return newHello(cfg, store, incarnation) },
+		Handler:    h,
+		Allow:      allow,
+		Identity:   identity,
+		OnReject:   func(err error) { l.Warn("peer turned away", "error", err) },
 	}, incarnation, nil
 }
 
--- a/router/internal/app/start.go
+++ b/router/internal/app/start.go
@@ -32,7 +32,7 @@
 	if err := settings.LoadProcess(file, &cfg); err != nil {
 		return cfg, err
 	}
-	cfg.Default()
+	cfg.SetDefaults()
 	if problems := cfg.Validate(file); len(problems) > 0 {
 		return cfg, problems
 	}
--- a/router/internal/client/server_test.go
+++ b/router/internal/client/server_test.go
@@ -64,7 +64,7 @@
 		WriteTime:  200 * time.Millisecond,
 		Dispatcher: d, Dialect: plainDialect{}, Clock: clock.Boot{}, Log: log.New(io.Discard), Scope: tally.NoopScope,
 	}
-	fleet := &settings.Declarations{
+	declarations := &settings.Declarations{
 		Services: map[settings.ServiceName]settings.Service{"desk": {}},
 		Routes: map[settings.RouteName]settings.Route{"r": {
 			Host: "desk.example", PathPrefix: "/a/", Kind: settings.RouteOnce, Timeout: 5 * time.Second, Attempts: 1,
@@ -72,7 +72,7 @@
 		}},
 		Limits: map[settings.LimitsName]settings.ClientLimits{settings.ClientLimitsName: {IdleTime: idle}},
 	}
-	s.SetTable(routing.New(fleet, 1))
+	s.SetTable(routing.New(declarations, 1))
 	ctx, cancel := context.WithCancel(context.Background())
 	ready := make(chan struct{})
 	done := make(chan error, 1)
--- a/router/internal/direct/dispatch.go
+++ b/router/internal/direct/dispatch.go
@@ -114,7 +114,7 @@
 			return
 		}
 		ending := ex.attempt(ctx, instance)
-		ex.res.Last = ending
+		ex.res.LastEnding = ending
 		ex.res.Attempts++
 		ex.recordEnding(ctx, instance, ending)
 		step := attempt.Next(attempt.State{
@@ -219,7 +219,7 @@
 // giveUp ends a request that gets no further attempt.
 func (ex *exchange) giveUp(ctx context.Context, code string, retryAfter time.Duration) {
 	if ex.res.Runs > 0 || ex.relay.headSent {
-		ex.finish(ctx, ex.res.Last)
+		ex.finish(ctx, ex.res.LastEnding)
 		return
 	}
 	ex.res.Outcome, ex.res.Code, ex.res.RetryAfter = peer.OutcomeNotRun, code, retryAfter
--- a/router/internal/direct/place.go
+++ b/router/internal/direct/place.go
@@ -143,7 +143,7 @@
 	if len(blocks) == 0 {
 		return ranks
 	}
-	primary, ok := rendezvous.New(ids).Home(uint64(blocks[len(blocks)-1].ID))
+	primary, ok := rendezvous.New(ids).Primary(uint64(blocks[len(blocks)-1].ID))
 	for i, id := range ids {
 		if !ok || id != primary {
 			ranks[i] = 1
--- a/router/internal/direct/request.go
+++ b/router/internal/direct/request.go
@@ -68,7 +68,7 @@
 	QueueTime, FirstByte time.Duration
 	// HeadSent reports that a response head was written to the client.
 	HeadSent bool
-	// Last is the ending of the last attempt. Choice is the placement of the last attempt.
-	Last   attempt.Ending
-	Choice placement.Choice
+	// LastEnding is the ending of the last attempt. Choice is the placement of the last attempt.
+	LastEnding attempt.Ending
+	Choice     placement.Choice
 }
--- a/router/internal/directory/watcher.go
+++ b/router/internal/directory/watcher.go
@@ -242,9 +242,9 @@
 	}
 	w.retryPause = min(maxRetryPause, max(minRetryPause, 2*w.retryPause))
 	pause := w.retryPause/2 + rand.N(w.retryPause)
-	var unavailable *directory.UnavailableError
-	if errors.As(err, &unavailable) {
-		pause = max(pause, min(maxRetryPause, unavailable.RetryAfter))
+	var statusErr *directory.StatusError
+	if errors.As(err, &statusErr) {
+		pause = max(pause, min(maxRetryPause, statusErr.RetryAfter))
 	}
 	clock.Sleep(ctx, pause)
 }
--- a/router/internal/routers/service.go
+++ b/router/internal/routers/service.go
@@ -278,7 +278,7 @@
 	if err != nil {
 		return nil, err
 	}
-	response, err := peer.Ask[*peer.RouterState](ctx, link, state, exchangeTimeout)
+	response, err := peer.Request[*peer.RouterState](ctx, link, state, exchangeTimeout)
 	if err != nil {
 		// The path may be broken although the link is still open, so the next exchange opens a new link.
 		link.Close(err)
--- a/router/internal/routers/service_test.go
+++ b/router/internal/routers/service_test.go
@@ -56,9 +56,9 @@
 		allow, err := peer.ParseNetworks([]string{"127.0.0.0/8"})
 		c.Assert(err, qt.IsNil)
 		one.endpoint = &peer.Endpoint{
-			Local:   func() peer.Hello { return peer.Hello{Protocol: peer.ProtocolVersion, Role: peer.RoleRouter, ID: id} },
-			Handler: one,
-			Allow:   allow,
+			LocalHello: func() peer.Hello { return peer.Hello{Protocol: peer.ProtocolVersion, Role: peer.RoleRouter, ID: id} },
+			Handler:    one,
+			Allow:      allow,
 		}
 		one.service = &Service{
 			ID: inflight.RouterID(id), Address: address, Cores: float64(i + 1), Incarnation: peer.Incarnation(id), Seeds: []string{seed},
--- a/router/internal/routers/state.go
+++ b/router/internal/routers/state.go
@@ -63,7 +63,7 @@
 	now := s.Clock.Now()
 	state := &peer.RouterState{
 		Router: s.ID, Address: s.Address, Incarnation: s.Incarnation, Cores: s.Cores, Open: s.InFlight.Local(),
-		Responsiveness: s.Unresponsive.Local(now), HasCacheEntries: s.HasCacheEntries(),
+		Observations: s.Unresponsive.Local(now), HasCacheEntries: s.HasCacheEntries(),
 	}
 	state.CacheQueried = s.CacheQueried()
 	// The age is read before the changes, so that it never covers changes that are not in this state.
@@ -98,7 +98,7 @@
 func (s *Service) merge(state *peer.RouterState) {
 	now := s.Clock.Now()
 	s.InFlight.Report(now, state.Router, state.Open)
-	s.Unresponsive.Report(now, state.Router, state.Open, state.Responsiveness)
+	s.Unresponsive.Report(now, state.Router, state.Open, state.Observations)
 	entries, err := affinity.Unpack(state.CacheEntries)
 	if err != nil {
 		s.Log.Warn("cannot decode the cache entries of a router", "router", state.Router, "error", err)
--- a/router/internal/routers/view.go
+++ b/router/internal/routers/view.go
@@ -6,8 +6,8 @@
 	"rattantrack.dev/core/settings"
 )
 
-// Known returns the addresses of the other routers.
-func (s *Service) Known() []string {
+// Addresses returns the addresses of the other routers.
+func (s *Service) Addresses() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []string
--- a/router/internal/sides/attempt.go
+++ b/router/internal/sides/attempt.go
@@ -197,7 +197,7 @@
 			break
 		}
 		query := &peer.AttemptQuery{Request: call.ID, Attempt: prog.attempt, Remaining: call.Deadline.Sub(d.Clock.Now())}
-		state, err := peer.Ask[*peer.AttemptState](ctx, link, query, queryTimeout)
+		state, err := peer.Request[*peer.AttemptState](ctx, link, query, queryTimeout)
 		if err != nil {
 			oldLink = link
 			continue
--- a/router/internal/sides/dispatch.go
+++ b/router/internal/sides/dispatch.go
@@ -101,7 +101,7 @@
 	switch refusal.Code {
 	case peer.RefuseLeaving:
 		d.View.RecordLeaving(side)
-	case peer.RefuseUpstream:
+	case peer.RefuseUpstreamUnreachable:
 		d.View.RecordFailure(side)
 	}
 }
@@ -163,7 +163,7 @@
 		claims, err := ticket.ParseUnverified(call.Ticket)
 		return claims.Upstream, err == nil
 	}
-	return d.View.Declared(call.Profile.Service).Home(outcome.HashKey(call.Key))
+	return d.View.Declared(call.Profile.Service).Primary(outcome.HashKey(call.Key))
 }
 
 // primaryRefusal returns the result of a refused call with a key or ticket. The outcome is "not run" only if the side
@@ -207,7 +207,7 @@
 			lastErr = err
 			continue
 		}
-		issued, err := peer.Ask[*peer.TicketIssued](ctx, link, &peer.IssueTicket{Profile: name}, queryTimeout)
+		issued, err := peer.Request[*peer.TicketIssued](ctx, link, &peer.IssueTicket{Profile: name}, queryTimeout)
 		if err == nil {
 			return issued, nil
 		}
--- a/router/internal/sides/view.go
+++ b/router/internal/sides/view.go
@@ -58,14 +58,14 @@
 func (v *View) ApplyDeclarations(c revision.Change) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.declarations = c.Fleet
+	v.declarations = c.Declarations
 	v.version = c.Version
 	if !c.UpstreamsChanged() {
 		return
 	}
 	v.declared = make(map[settings.ServiceName]*rendezvous.Set)
-	for name := range c.Fleet.Services {
-		v.declared[name] = rendezvous.New(c.Fleet.UpstreamsOf(name))
+	for name := range c.Declarations.Services {
+		v.declared[name] = rendezvous.New(c.Declarations.UpstreamsOf(name))
 	}
 	v.usable = nil
 }
--- a/side/internal/app/app.go
+++ b/side/internal/app/app.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, err
 	}
-	identity, err := peer.IdentityOf(cfg.PeerTLS)
+	identity, err := peer.OptionalIdentity(cfg.PeerTLS)
 	if err != nil {
 		return nil, err
 	}
@@ -65,11 +65,11 @@
 		Started:  clock.Boot{}.Now(),
 	}
 	s.endpoint = &peer.Endpoint{
-		Local:    func() peer.Hello { return s.hello(incarnation) },
-		Handler:  s,
-		Allow:    allow,
-		Identity: identity,
-		OnReject: func(err error) { l.Warn("peer turned away", "error", err) },
+		LocalHello: func() peer.Hello { return s.hello(incarnation) },
+		Handler:    s,
+		Allow:      allow,
+		Identity:   identity,
+		OnReject:   func(err error) { l.Warn("peer turned away", "error", err) },
 	}
 	prefixes := sides.NewPrefixTransfer(s.endpoint, s.client)
 	s.server.Prefixes = prefixes
@@ -93,9 +93,9 @@
 
 // candidates returns the addresses of the processes from which this one may get declarations.
 func (s *Side) candidates() []string {
-	_, fleet := s.store.Current()
+	_, declarations := s.store.Current()
 	var list []string
-	for _, address := range append(gossip.SideAddresses(fleet), s.cfg.Peers...) {
+	for _, address := range append(gossip.SideAddresses(declarations), s.cfg.Peers...) {
 		if address != s.cfg.Peer {
 			list = append(list, address)
 		}
--- a/side/internal/app/start.go
+++ b/side/internal/app/start.go
@@ -14,7 +14,7 @@
 	if err := settings.LoadProcess(file, &cfg); err != nil {
 		return err
 	}
-	cfg.Default()
+	cfg.SetDefaults()
 	if problems := cfg.Validate(file); len(problems) > 0 {
 		return problems
 	}
--- a/side/internal/router/handover.go
+++ b/side/internal/router/handover.go
@@ -48,7 +48,7 @@
 		if !ok {
 			continue
 		}
-		claim := &peer.Claim{From: s.Self, Service: s.serviceName, Ended: ack.Ended, Restarted: restarted}
+		claim := &peer.Claim{From: s.Self, Service: s.serviceName, MovedBy: ack.Ended, Restarted: restarted}
 		list = append(list, PendingClaim{Claim: claim, Address: address})
 	}
 	return list
@@ -73,7 +73,7 @@
 		s.keys.Import(now, r)
 	}
 	if !h.Complete {
-		s.primaries.AddReleaseAck(now, h.From, h.Ended, h.Revision, h.Covered)
+		s.primaries.AddReleaseAck(now, h.From, h.MovedBy, h.Revision, h.Covered)
 		return
 	}
 	// No process between the predecessor and this one can have run a key: that would take this handover, of which
@@ -87,7 +87,7 @@
 func (s *Server) AnswerClaim(c *peer.Claim) []*peer.Handover {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.Service != s.serviceName || s.revision < c.Ended {
+	if c.Service != s.serviceName || s.revision < c.MovedBy {
 		return nil
 	}
 	now := s.Clock.Now()
@@ -101,9 +101,9 @@
 	answers := []*peer.Handover{{
 		From:     s.Self,
 		Service:  s.serviceName,
-		Ended:    c.Ended,
+		MovedBy:  c.MovedBy,
 		Revision: s.revision,
-		Covered:  s.primaries.CoveredBefore(now, c.Ended),
+		Covered:  s.primaries.CoveredBefore(now, c.MovedBy),
 		Records:  records,
 	}}
 	if kept, ok := s.handovers[c.From]; ok && c.Restarted {
--- a/side/internal/router/run.go
+++ b/side/internal/router/run.go
@@ -26,7 +26,7 @@
 	if errors.As(err, &notSent) {
 		s.abandon(j)
 		s.Log.Warn("upstream unreachable", "request", j.submit.Request, "error", err)
-		_ = st.Send(ctx, j.refuseMessage(peer.RefuseUpstream))
+		_ = st.Send(ctx, j.refuseMessage(peer.RefuseUpstreamUnreachable))
 		return
 	}
 	s.recordResult(j, usage, err)
@@ -109,7 +109,7 @@
 		return
 	}
 	s.admission.Prefixes.RecordStored(j.submit.Chat, usage.Prompt+usage.Answer)
-	if primary, ok := s.upstreamSet.Home(j.submit.Chat); ok && primary == s.Self {
+	if primary, ok := s.upstreamSet.Primary(j.submit.Chat); ok && primary == s.Self {
 		s.admission.CacheOwners.RecordServed(j.submit.Chat, s.Self)
 	}
 }
@@ -193,7 +193,7 @@
 func (s *jobSink) firstToken() {
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
-	s.server.admission.FirstToken(&s.job.decision)
+	s.server.admission.RecordFirstToken(&s.job.decision)
 	if m := s.job.submit; m.Chat != 0 {
 		s.server.admission.Prefixes.RecordStored(m.Chat, m.PromptTokens)
 	}
--- a/side/internal/router/server.go
+++ b/side/internal/router/server.go
@@ -81,16 +81,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.declarations
-	s.declarations = c.Fleet
+	s.declarations = c.Declarations
 	s.revision = c.Version.Revision
-	self, declared := c.Fleet.Upstreams[s.Self]
+	self, declared := c.Declarations.Upstreams[s.Self]
 	if declared {
 		s.serviceName = self.Service
 	}
-	s.service = c.Fleet.Services[s.serviceName]
+	s.service = c.Declarations.Services[s.serviceName]
 	if s.upstreamSet == nil || c.UpstreamsChanged() {
-		s.recordPreviousSides(before, c.Fleet)
-		s.setUpstreams(c.Fleet)
+		s.recordPreviousSides(before, c.Declarations)
+		s.setUpstreams(c.Declarations)
 	}
 	s.scheduler.Slots = s.service.MaxRunning
 	s.scheduler.MaxQueued = s.service.MaxQueued
@@ -116,7 +116,7 @@
 	change := outcome.Change{
 		Revision:    c.Version.Revision,
 		Set:         s.upstreamSet,
-		Destroyed:   c.Fleet.DestroyedOf(s.serviceName),
+		Destroyed:   c.Declarations.DestroyedOf(s.serviceName),
 		Consecutive: c.Consecutive,
 	}
 	for _, doc := range c.Documents {
@@ -124,7 +124,7 @@
 		if !ok {
 			continue
 		}
-		switch s.serviceOf(id, before, c.Fleet) {
+		switch s.serviceOf(id, before, c.Declarations) {
 		case s.serviceName:
 			change.Affected = append(change.Affected, id)
 		case "":
--- a/side/internal/router/submit.go
+++ b/side/internal/router/submit.go
@@ -78,7 +78,7 @@
 func (s *Server) reserve(j *job) (outcome.Step, *refusal) {
 	profile, ok := s.profile(j.submit.Profile)
 	if !ok {
-		return 0, &refusal{code: peer.RefuseProfile, retryAfter: time.Second}
+		return 0, &refusal{code: peer.RefuseUnknownProfile, retryAfter: time.Second}
 	}
 	j.profile = profile
 	if j.key() != "" {
@@ -141,7 +141,7 @@
 // admit submits a job to the admission controller; the caller holds the lock.
 func (s *Server) admit(j *job) *refusal {
 	m := j.submit
-	primary, _ := s.upstreamSet.Home(m.Chat)
+	primary, _ := s.upstreamSet.Primary(m.Chat)
 	request := admission.Request{
 		Chat:          m.Chat,
 		PromptTokens:  m.PromptTokens,
@@ -197,7 +197,7 @@
 	if j.submit.Ticket != "" {
 		err := s.Issuer.Check(s.Clock.Now(), j.submit.Ticket, s.service.KeyLifetime)
 		if err != nil {
-			return &refusal{code: peer.RefuseTicket}
+			return &refusal{code: peer.RefuseTicketInvalid}
 		}
 		return nil
 	}
--- a/side/internal/sides/service.go
+++ b/side/internal/sides/service.go
@@ -149,7 +149,7 @@
 		return err
 	}
 	name, _ := s.Admission.Siblings()
-	answer, err := peer.Ask[*peer.LoadExchange](ctx, link, toMessage(name, s.Admission.ExchangeSample(nil)), exchangeTimeout)
+	answer, err := peer.Request[*peer.LoadExchange](ctx, link, toMessage(name, s.Admission.ExchangeSample(nil)), exchangeTimeout)
 	if err != nil {
 		return err
 	}
@@ -201,11 +201,11 @@
 }
 
 func toMessage(name settings.ServiceName, s meanload.Sample) *peer.LoadExchange {
-	return &peer.LoadExchange{Side: s.Side, Service: name, Load: float32(s.Load), Mean: float32(s.Mean), MeanKnown: s.Known}
+	return &peer.LoadExchange{Side: s.Side, Service: name, Load: float32(s.Load), Mean: float32(s.Mean), MeanKnown: s.MeanKnown}
 }
 
 func fromMessage(e *peer.LoadExchange) meanload.Sample {
-	return meanload.Sample{Side: e.Side, Load: settings.Tokens(e.Load), Mean: settings.Tokens(e.Mean), Known: e.MeanKnown}
+	return meanload.Sample{Side: e.Side, Load: settings.Tokens(e.Load), Mean: settings.Tokens(e.Mean), MeanKnown: e.MeanKnown}
 }
 
 // sendClaims sends every pending claim.
@@ -254,7 +254,7 @@
 			continue
 		}
 		// If the records do not arrive, the successor confirms no key until a key's lifetime has passed.
-		_, _ = peer.Ask[*peer.HandoverAck](ctx, link, handover, exchangeTimeout)
+		_, _ = peer.Request[*peer.HandoverAck](ctx, link, handover, exchangeTimeout)
 		return
 	}
 }
--- a/standin/internal/bench/capacity.go
+++ b/standin/internal/bench/capacity.go
@@ -254,7 +254,7 @@
 			return nodes, nil, errors.Wrap(err, "listening for a node")
 		}
 		one := &node{store: &revision.Store{}}
-		one.endpoint = &peer.Endpoint{Handler: one, Allow: allow, Local: func() peer.Hello {
+		one.endpoint = &peer.Endpoint{Handler: one, Allow: allow, LocalHello: func() peer.Hello {
 			return peer.Hello{Protocol: peer.ProtocolVersion, Role: peer.RoleSide, ID: fmt.Sprint(i), Sent: clock.Boot{}.Now()}
 		}}
 		nodes = append(nodes, one)
--- a/standin/internal/bench/stub.go
+++ b/standin/internal/bench/stub.go
@@ -59,7 +59,7 @@
 		}
 		s := &stub{id: settings.UpstreamID(fmt.Sprintf("stub-%04d", i)), address: ln.Addr().String()}
 		hello := peer.Hello{Protocol: peer.ProtocolVersion, Role: peer.RoleSide, ID: string(s.id), Incarnation: "stub"}
-		s.endpoint = &peer.Endpoint{Handler: s, Allow: allow, Local: func() peer.Hello {
+		s.endpoint = &peer.Endpoint{Handler: s, Allow: allow, LocalHello: func() peer.Hello {
 			h := hello
 			h.Sent = clock.Boot{}.Now()
 			return h
--- a/standin/internal/fleet/outcome_test.go
+++ b/standin/internal/fleet/outcome_test.go
@@ -59,7 +59,7 @@
 		ids = append(ids, u.ID)
 	}
 	full := fmt.Sprintf("%s\x00debit\x00%s", Team, name)
-	home, _ := rendezvous.New(ids).Home(outcome.HashKey(full))
+	home, _ := rendezvous.New(ids).Primary(outcome.HashKey(full))
 	for _, u := range f.Plains {
 		if u.ID == home {
 			return u
