--- a/core/peer/compress.go
+++ b/core/peer/compress.go
@@ -25,11 +25,11 @@
 var sharedCodec = sync.OnceValues(func() (*codec, error) {
 	enc, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
 	if err != nil {
-		return nil, errors.Wrap(err, "creating the Zstandard encoder")
+		return nil, errors.Wrap(err, "making the encoder")
 	}
 	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(MaxFrameBytes))
 	if err != nil {
-		return nil, errors.Wrap(err, "creating the Zstandard decoder")
+		return nil, errors.Wrap(err, "making the decoder")
 	}
 	return &codec{enc: enc, dec: dec}, nil
 })
--- a/side/internal/upstream/prefix.go
+++ b/side/internal/upstream/prefix.go
@@ -39,15 +39,15 @@
 func (c *Client) transfer(ctx context.Context, method, url string, body []byte) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return nil, errors.Wrap(err, "creating a transfer request")
+		return nil, errors.Wrap(err, "building a transfer")
 	}
 	res, err := c.http.Do(req)
 	if err != nil {
-		return nil, errors.Wrap(err, "sending a transfer request to the engine")
+		return nil, errors.Wrap(err, "asking the engine")
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return nil, errors.Newf("engine returned status %d", res.StatusCode)
+		return nil, errors.Newf("engine answered %d", res.StatusCode)
 	}
 	text, err := io.ReadAll(io.LimitReader(res.Body, maxPrefixBytes))
 	return text, errors.Wrap(err, "reading a prefix")
