--- a/core/outcome/attempts.go
+++ b/core/outcome/attempts.go
@@ -30,8 +30,8 @@
 	nextSweep clock.Instant
 }
 
-// Withdraw forbids the start of an attempt that has not started. It reports whether the attempt has started, and
-// whether that answer is certain: a full table cannot record the withdrawal.
+// Withdraw forbids the start of an attempt that has not started. It reports whether the attempt has started, and whether
+// that is certain: a full table cannot record the withdrawal, and the attempt may still start.
 func (a *Attempts) Withdraw(now clock.Instant, key AttemptKey, remaining time.Duration) (started, certain bool) {
 	a.expire(now)
 	have := a.attempts[key]
--- a/core/outcome/keys.go
+++ b/core/outcome/keys.go
@@ -14,7 +14,7 @@
 const (
 	StateRunning State = iota + 1
 	StateDone
-	// StateLost means that the run may have started and its result is not known.
+	// StateLost means that the run may have started and its result is not known or was too long to keep.
 	StateLost
 )
 
@@ -43,11 +43,17 @@
 
 // The actions for a submitted key.
 const (
+	// StepRun starts the single run.
 	StepRun Step = iota
+	// StepReplay sends the recorded answer.
 	StepReplay
+	// StepWait waits until the run in progress has ended.
 	StepWait
+	// StepLost refuses the key because the result of its run is not known.
 	StepLost
+	// StepBodyDiffers refuses the key because it was used for another request.
 	StepBodyDiffers
+	// StepTableFull refuses the key because the table has no room for it.
 	StepTableFull
 )
 
@@ -151,12 +157,12 @@
 		Key:        in.Key,
 		BodyDigest: in.BodyDigest,
 		State:      state,
-		Answer:     Answer{Status: in.Status, Headers: in.Headers, Body: in.Answer},
+		Answer:     Answer{Status: in.Status, Headers: in.Headers, Body: in.AnswerBody},
 		expires:    now.Add(in.Remaining),
 		done:       make(chan struct{}),
 	}
 	close(r.done)
-	k.bytes += len(in.Answer)
+	k.bytes += len(in.AnswerBody)
 	k.put(r)
 }
 
@@ -179,7 +185,7 @@
 		State:      uint8(r.State),
 		Status:     r.Answer.Status,
 		Headers:    r.Answer.Headers,
-		Answer:     r.Answer.Body,
+		AnswerBody: r.Answer.Body,
 		Remaining:  r.expires.Sub(now),
 	}
 }
@@ -195,11 +201,11 @@
 		k.bytes >= orDefault(k.MaxAnswerBytes, DefaultMaxAnswerBytes)
 }
 
-func orDefault(value, other int) int {
+func orDefault(value, fallback int) int {
 	if value > 0 {
 		return value
 	}
-	return other
+	return fallback
 }
 
 func (k *Keys) put(r *Record) {
--- a/core/outcome/primaries.go
+++ b/core/outcome/primaries.go
@@ -28,10 +28,10 @@
 // confirms no key until the lifetime has passed.
 const maxEpochs = 32
 
-// epoch is a set of declared upstreams that was in force, with the revision that ended it.
+// epoch is a set of declared upstreams that was in force, with the revision that ended it and moved keys to other sides.
 type epoch struct {
-	set   *rendezvous.Set
-	ended settings.Revision
+	set     *rendezvous.Set
+	endedBy settings.Revision
 	// possiblePrimaries lists the sides that may have been primary of any key; it is set if the declared upstreams were
 	// not known throughout the epoch.
 	possiblePrimaries []settings.UpstreamID
@@ -69,11 +69,11 @@
 
 // ackID identifies a release acknowledgement: the acknowledging side, and the revision that moved its keys to others.
 type ackID struct {
-	from  settings.UpstreamID
-	ended settings.Revision
+	from    settings.UpstreamID
+	movedBy settings.Revision
 }
 
-// releaseAck is another side's acknowledgement that it runs the moved keys no more. Covered means that it could confirm
+// releaseAck is another side's acknowledgement that it no longer runs the moved keys. Covered means that it could confirm
 // keys as their primary until then.
 type releaseAck struct {
 	covered    bool
@@ -114,8 +114,8 @@
 	}
 	if p.set == nil {
 		// The upstreams in force before this process started are unknown, so every other side must acknowledge.
-		p.pastEpochs = append(p.pastEpochs, epoch{set: c.Set, ended: c.Revision, possiblePrimaries: union(c.Set.IDs(), c.Destroyed)})
-	} else if e, changed := p.ended(c); changed {
+		p.pastEpochs = append(p.pastEpochs, epoch{set: c.Set, endedBy: c.Revision, possiblePrimaries: union(c.Set.IDs(), c.Destroyed)})
+	} else if e, changed := p.endedEpoch(c); changed {
 		p.pastEpochs = append(p.pastEpochs, e)
 	}
 	p.set = c.Set
@@ -123,9 +123,9 @@
 	p.prune(now)
 }
 
-// ended returns the epoch that a change ends, and whether the set can have changed.
-func (p *Primaries) ended(c Change) (epoch, bool) {
-	e := epoch{set: p.set, ended: c.Revision}
+// endedEpoch returns the epoch that a change ends, and whether the set can have changed.
+func (p *Primaries) endedEpoch(c Change) (epoch, bool) {
+	e := epoch{set: p.set, endedBy: c.Revision}
 	if c.Consecutive {
 		return e, !slices.Equal(p.set.IDs(), c.Set.IDs())
 	}
@@ -151,7 +151,7 @@
 	}
 }
 
-// prune drops epochs whose previous primaries have all released their keys at least a key's lifetime ago.
+// prune drops epochs whose previous primaries all released their keys or were destroyed at least a key's lifetime ago.
 func (p *Primaries) prune(now clock.Instant) {
 	kept := p.pastEpochs[:0]
 	for _, e := range p.pastEpochs {
@@ -171,7 +171,7 @@
 // pruneAcks drops acknowledgements of epochs that are no longer recorded.
 func (p *Primaries) pruneAcks() {
 	for id := range p.acks {
-		if !slices.ContainsFunc(p.pastEpochs, func(e epoch) bool { return e.ended == id.ended }) {
+		if !slices.ContainsFunc(p.pastEpochs, func(e epoch) bool { return e.endedBy == id.movedBy }) {
 			delete(p.acks, id)
 		}
 	}
@@ -179,27 +179,28 @@
 
 func (p *Primaries) epochExpired(now clock.Instant, e epoch) bool {
 	for _, id := range e.allPrimaries() {
-		if id != p.Self && !p.keysExpired(now, id, e.ended) {
+		if id != p.Self && !p.keysExpired(now, id, e.endedBy) {
 			return false
 		}
 	}
 	return true
 }
 
-// keysExpired reports whether every key that a previous primary may have run has passed its lifetime.
-func (p *Primaries) keysExpired(now clock.Instant, id settings.UpstreamID, ended settings.Revision) bool {
-	if ack, ok := p.acks[ackID{from: id, ended: ended}]; ok {
+// keysExpired reports whether the records of all keys that a previous primary may have run have expired: it released the keys
+// or was destroyed at least a key's lifetime ago.
+func (p *Primaries) keysExpired(now clock.Instant, id settings.UpstreamID, endedBy settings.Revision) bool {
+	if ack, ok := p.acks[ackID{from: id, movedBy: endedBy}]; ok {
 		return now.Sub(ack.receivedAt) >= p.Lifetime
 	}
 	destroyedAt, destroyed := p.destroyed[id]
 	return destroyed && now.Sub(destroyedAt) >= p.Lifetime
 }
 
-// AddReleaseAck records another side's acknowledgement that it runs none of the keys that the revision ended moved to
+// AddReleaseAck records another side's acknowledgement that it runs none of the keys that the revision movedBy moved to
 // others. Current is the revision in force there, and covered is whether it could confirm those keys.
-func (p *Primaries) AddReleaseAck(now clock.Instant, from settings.UpstreamID, ended, current settings.Revision, covered bool) {
+func (p *Primaries) AddReleaseAck(now clock.Instant, from settings.UpstreamID, movedBy, current settings.Revision, covered bool) {
 	p.newestRevision = max(p.newestRevision, current)
-	id := ackID{from: from, ended: ended}
+	id := ackID{from: from, movedBy: movedBy}
 	if have, ok := p.acks[id]; ok && (have.covered || !covered) {
 		return
 	}
@@ -214,14 +215,14 @@
 	return p.CoveredBefore(now, p.revision+1)
 }
 
-// CoveredBefore reports whether this side could confirm its keys until the revision ended took effect. Only epochs that
-// ended earlier count, so that sides waiting for each other's acknowledgement of one revision do not deadlock.
-func (p *Primaries) CoveredBefore(now clock.Instant, ended settings.Revision) bool {
+// CoveredBefore reports whether this side could confirm its keys until the given revision took effect. Only epochs that ended
+// earlier count, so that sides waiting for each other's acknowledgement of one revision do not deadlock.
+func (p *Primaries) CoveredBefore(now clock.Instant, revision settings.Revision) bool {
 	if !p.historyComplete(now) {
 		return false
 	}
 	for _, e := range p.pastEpochs {
-		if e.ended < ended && !p.allResolved(now, e.allPrimaries(), e.ended) {
+		if e.endedBy < revision && !p.allResolved(now, e.allPrimaries(), e.endedBy) {
 			return false
 		}
 	}
@@ -236,9 +237,9 @@
 	return !now.Before(p.unconfirmedUntil)
 }
 
-func (p *Primaries) allResolved(now clock.Instant, ids []settings.UpstreamID, ended settings.Revision) bool {
+func (p *Primaries) allResolved(now clock.Instant, ids []settings.UpstreamID, endedBy settings.Revision) bool {
 	for _, id := range ids {
-		if id != p.Self && !p.resolved(now, id, ended) {
+		if id != p.Self && !p.resolved(now, id, endedBy) {
 			return false
 		}
 	}
@@ -248,8 +249,8 @@
 // MissingAck identifies a release acknowledgement that has not been received: the side that must send it, and the
 // revision that moved keys from that side.
 type MissingAck struct {
-	From  settings.UpstreamID
-	Ended settings.Revision
+	From    settings.UpstreamID
+	MovedBy settings.Revision
 }
 
 // MissingAcks returns the release acknowledgements that have not been received.
@@ -257,8 +258,8 @@
 	var missing []MissingAck
 	for _, e := range p.pastEpochs {
 		for _, id := range e.allPrimaries() {
-			if id != p.Self && !p.acknowledged(now, id, e.ended) {
-				missing = append(missing, MissingAck{From: id, Ended: e.ended})
+			if id != p.Self && !p.acknowledged(now, id, e.endedBy) {
+				missing = append(missing, MissingAck{From: id, MovedBy: e.endedBy})
 			}
 		}
 	}
@@ -266,17 +267,17 @@
 }
 
 // acknowledged reports whether a previous primary has released its keys, even if it could not confirm them.
-func (p *Primaries) acknowledged(now clock.Instant, id settings.UpstreamID, ended settings.Revision) bool {
-	_, ok := p.acks[ackID{from: id, ended: ended}]
-	return ok || p.keysExpired(now, id, ended)
+func (p *Primaries) acknowledged(now clock.Instant, id settings.UpstreamID, endedBy settings.Revision) bool {
+	_, ok := p.acks[ackID{from: id, movedBy: endedBy}]
+	return ok || p.keysExpired(now, id, endedBy)
 }
 
 // resolved reports whether a previous primary has released its keys and their records are here or have expired.
-func (p *Primaries) resolved(now clock.Instant, id settings.UpstreamID, ended settings.Revision) bool {
-	if p.acks[ackID{from: id, ended: ended}].covered {
+func (p *Primaries) resolved(now clock.Instant, id settings.UpstreamID, endedBy settings.Revision) bool {
+	if p.acks[ackID{from: id, movedBy: endedBy}].covered {
 		return true
 	}
-	return p.keysExpired(now, id, ended)
+	return p.keysExpired(now, id, endedBy)
 }
 
 // Primary returns the primary of a key.
@@ -298,14 +299,15 @@
 	}
 	var buf [1]settings.UpstreamID
 	for _, e := range p.pastEpochs {
-		if !p.allResolved(now, e.previousPrimaries(HashKey(key), buf[:0]), e.ended) {
+		if !p.allResolved(now, e.previousPrimaries(HashKey(key), buf[:0]), e.endedBy) {
 			return Unconfirmed
 		}
 	}
 	return Confirmed
 }
 
-// TimeToConfirm returns an estimate of the time until this side can confirm all its keys.
+// TimeToConfirm returns an estimate of the time until this side can confirm its keys, at least one second. It does not account
+// for missing acknowledgements.
 func (p *Primaries) TimeToConfirm(now clock.Instant) time.Duration {
 	if p.recovered {
 		return time.Second
--- a/core/peer/control.go
+++ b/core/peer/control.go
@@ -57,7 +57,7 @@
 // Kind returns KindReset.
 func (*Reset) Kind() Kind { return KindReset }
 
-// Window allows the sender of chunks to send N more.
+// Window allows the sender of a stream's chunks to send N more.
 type Window struct {
 	N int
 }
--- a/core/peer/dial.go
+++ b/core/peer/dial.go
@@ -68,7 +68,7 @@
 	DialTimeout time.Duration
 
 	mu sync.Mutex
-	// dialled holds the outgoing links by address, and addresses the remote address of each open link.
+	// dialled holds the outgoing links by address. addresses holds the remote address of each open link, incoming ones too.
 	dialled   map[string]*dialledLink
 	addresses map[*Link]string
 }
@@ -177,7 +177,7 @@
 		}
 		e.dialled[address] = d
 		go e.connect(address, d)
-		defer e.trim()
+		defer e.closeExcess()
 	}
 	e.mu.Unlock()
 	select {
@@ -188,8 +188,8 @@
 	}
 }
 
-// trim closes dialled links, longest idle first, while there are too many.
-func (e *Endpoint) trim() {
+// closeExcess closes dialled links without streams, longest idle first, while there are more than MaxDialled.
+func (e *Endpoint) closeExcess() {
 	for idlest := e.longestIdle(); idlest != nil; idlest = e.longestIdle() {
 		idlest.Close(nil)
 	}
--- a/core/peer/keys.go
+++ b/core/peer/keys.go
@@ -8,32 +8,36 @@
 
 // KeyRecord is what a side stores about one idempotency key.
 type KeyRecord struct {
-	Key        string
+	Key string
+	// BodyDigest is the digest of the request that the key was used for.
 	BodyDigest uint64
 	// State is an outcome.State, the state of the key's run.
 	State uint8
-	// Status, Headers and Answer are the recorded response.
-	Status  int
-	Headers []Header
-	Answer  []byte
+	// Status, Headers and AnswerBody are the recorded response.
+	Status     int
+	Headers    []Header
+	AnswerBody []byte
 	// Remaining is the time until the record expires.
 	Remaining time.Duration
 }
 
-// Claim requests from another side the records of the keys whose primary is now the claiming side.
+// Claim requests from another side a release acknowledgement and the records of the keys whose primary is now the claiming
+// side.
 type Claim struct {
 	From    settings.UpstreamID
 	Service settings.ServiceName
 	// MovedBy is the revision that may have moved keys away from the receiving side.
 	MovedBy settings.Revision
-	// Restarted reports that the claiming process has just started and also requests the handover of its predecessor.
+	// Restarted reports that the claiming process has just started and also requests the handover of its predecessor, the
+	// process that ran for the same upstream before.
 	Restarted bool
 }
 
 // Kind returns KindClaim.
 func (*Claim) Kind() Kind { return KindClaim }
 
-// Handover is the reply to a Claim, or transfers the records of a stopping side to another side.
+// Handover is the reply to a Claim and the release acknowledgement, or transfers the records of a stopping side to another
+// side, which stores them for the stopping side's successor.
 type Handover struct {
 	From    settings.UpstreamID
 	Service settings.ServiceName
@@ -41,7 +45,8 @@
 	// that either of them moves to another side.
 	MovedBy  settings.Revision
 	Revision settings.Revision
-	// Covered reports whether the sender could itself rule out unknown earlier runs of the keys that it was the primary of.
+	// Covered reports whether the sender could confirm that the keys of which it was primary had no earlier run without a
+	// record.
 	Covered bool
 	// Complete reports that the records are all those that a stopped process handed over for its successor.
 	Complete bool
--- a/core/peer/link.go
+++ b/core/peer/link.go
@@ -151,8 +151,8 @@
 	return nil
 }
 
-// Lateness returns how much longer a message with this timestamp took than the fastest message of the link so far. It
-// reveals a delay in a paused process or a broken network without synchronized clocks.
+// Lateness returns how much longer a message with this timestamp took than the fastest message of the link so far. It needs
+// no synchronized clocks and shows delays of a suspended process or a broken network.
 func (l *Link) Lateness(sent clock.Instant) time.Duration {
 	offset := clock.Boot{}.Now().Sub(sent)
 	l.mu.Lock()
--- a/core/peer/message.go
+++ b/core/peer/message.go
@@ -21,7 +21,7 @@
 	KindAttemptState
 	KindIssueTicket
 	KindTicketIssued
-	KindChatPlaced
+	KindChatServed
 	KindLoadExchange
 	KindAnnounce
 	KindPull
@@ -77,8 +77,8 @@
 		return &IssueTicket{}
 	case KindTicketIssued:
 		return &TicketIssued{}
-	case KindChatPlaced:
-		return &ChatPlaced{}
+	case KindChatServed:
+		return &ChatServed{}
 	case KindLoadExchange:
 		return &LoadExchange{}
 	case KindAnnounce:
--- a/core/peer/receive.go
+++ b/core/peer/receive.go
@@ -87,7 +87,7 @@
 // opensStream reports whether a message may open a stream.
 func opensStream(m Message) bool {
 	switch m.(type) {
-	case *Submit, *AttemptQuery, *IssueTicket, *ChatPlaced, *LoadExchange, *Announce, *Pull, *Claim, *Handover, *Leaving,
+	case *Submit, *AttemptQuery, *IssueTicket, *ChatServed, *LoadExchange, *Announce, *Pull, *Claim, *Handover, *Leaving,
 		*FetchPrefix, *RouterState:
 		return true
 	}
--- a/core/peer/relay_test.go
+++ b/core/peer/relay_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// relay forwards bytes in both directions. silence stops its present connections, and later ones work again.
+// relay forwards bytes in both directions. After discard, its present connections drop all bytes and new ones still work.
 type relay struct {
 	address string
 	target  string
--- a/core/peer/request.go
+++ b/core/peer/request.go
@@ -46,9 +46,9 @@
 	// Redirected reports that another side was tried before or has moved the request.
 	Redirected bool
 	// LastCandidate reports that no further side will be tried and that this one had the smallest load among the sides that
-	// refused because of their load.
+	// refused with RefuseOverloaded.
 	LastCandidate bool
-	// Moves counts how often an overloaded side has moved the request to another side.
+	// Moves is the number of times that a side has moved the request to another side to reduce its load.
 	Moves int
 	// CacheOwner is a side whose engine may export the chat's prefix.
 	CacheOwner settings.UpstreamID
@@ -69,19 +69,20 @@
 // RefuseCode is the reason why a side refused an attempt.
 type RefuseCode string
 
-// The reasons for a refusal.
+// The reasons for a refusal. RefuseOverloaded also stands for a redirect to a side that has the prefix cached or less load,
+// and RefuseMoved for an accepted request that was moved to another side before it started.
 const (
 	RefuseLeaving             RefuseCode = "leaving"
 	RefuseOverloaded          RefuseCode = "overloaded"
-	RefuseHeldElsewhere       RefuseCode = "held_elsewhere"
+	RefuseMoved               RefuseCode = "held_elsewhere"
 	RefuseDeadline            RefuseCode = "deadline_too_short"
 	RefuseTableFull           RefuseCode = "table_full"
 	RefuseNotPrimary          RefuseCode = "not_home"
-	RefusePrimaryUnsure       RefuseCode = "home_cannot_rule_out_an_earlier_run"
+	RefuseUnconfirmed         RefuseCode = "home_cannot_rule_out_an_earlier_run"
 	RefuseKeyReused           RefuseCode = "key_reused"
 	RefuseIncarnation         RefuseCode = "upstream_was_replaced"
 	RefuseTicketInvalid       RefuseCode = "ticket_invalid"
-	RefuseCancelled           RefuseCode = "attempt_was_cancelled"
+	RefuseWithdrawn           RefuseCode = "attempt_was_cancelled"
 	RefuseResultLost          RefuseCode = "earlier_run_without_result"
 	RefuseUnknownProfile      RefuseCode = "unknown_profile"
 	RefuseUpstreamUnreachable RefuseCode = "upstream_unreachable"
@@ -140,9 +141,9 @@
 	Outcome Outcome
 	// Chunks is the number of the last chunk.
 	Chunks uint32
-	// Moved names the side that should continue the response after Chunks.
-	Moved  settings.UpstreamID
-	Reason string
+	// MovedTo is the side that should continue the response after Chunks, empty if none.
+	MovedTo settings.UpstreamID
+	Reason  string
 }
 
 // Kind returns KindEnd.
@@ -194,11 +195,11 @@
 // Kind returns KindTicketIssued.
 func (*TicketIssued) Kind() Kind { return KindTicketIssued }
 
-// ChatPlaced reports to a chat's primary which side served the chat.
-type ChatPlaced struct {
+// ChatServed reports to a chat's primary which side served the chat.
+type ChatServed struct {
 	Chat uint64
 	Side settings.UpstreamID
 }
 
-// Kind returns KindChatPlaced.
-func (*ChatPlaced) Kind() Kind { return KindChatPlaced }
+// Kind returns KindChatServed.
+func (*ChatServed) Kind() Kind { return KindChatServed }
--- a/core/peer/router.go
+++ b/core/peer/router.go
@@ -20,7 +20,8 @@
 	Cores float64
 	// Open is the number of requests that the router has open at each upstream.
 	Open inflight.Counts
-	// Observations holds the router's observations of upstreams, except those that respond to the requests in Open.
+	// Observations holds the router's observations of upstreams. It leaves out the upstreams that respond to the requests in
+	// Open, which are most of them.
 	Observations unresponsive.Observations
 	// HasCacheEntries reports that the router's cache warm-up is complete, so that it can pass on its cache entries.
 	HasCacheEntries bool
--- a/router/internal/caller/failure.go
+++ b/router/internal/caller/failure.go
@@ -46,7 +46,7 @@
 	string(peer.RefuseOverloaded):    "Every engine that may take the request is busy; come back later.",
 	string(peer.RefuseDeadline):      "The request would have missed its deadline.",
 	string(peer.RefuseKeyReused):     "The idempotency key was used for another request.",
-	string(peer.RefusePrimaryUnsure): "An earlier run of this key cannot be ruled out yet; repeat with the same key.",
+	string(peer.RefuseUnconfirmed):   "An earlier run of this key cannot be ruled out yet; repeat with the same key.",
 	string(peer.RefuseResultLost):    "The request was started once and its result is not known; it will not be started again.",
 	string(peer.RefuseTicketInvalid): "The ticket is invalid, has expired, or its upstream was replaced.",
 	string(peer.RefuseLeaving):       "The upstream is leaving; come back later.",
--- a/router/internal/sides/attempt.go
+++ b/router/internal/sides/attempt.go
@@ -151,7 +151,7 @@
 // refusalResult returns the result of a refusal. A call that the side accepted and moved away before its start counts as
 // moved, not as refused.
 func refusalResult(refusal *peer.Refuse) attemptResult {
-	if refusal.Code == peer.RefuseHeldElsewhere && len(refusal.Next) > 0 {
+	if refusal.Code == peer.RefuseMoved && len(refusal.Next) > 0 {
 		return attemptResult{ending: endMoved, next: refusal.Next[0]}
 	}
 	return attemptResult{ending: endRefused, refusal: refusal}
@@ -168,8 +168,8 @@
 // endResult returns the result of an End message; last is the number of the last chunk received.
 func endResult(end *peer.End, last uint32) attemptResult {
 	switch {
-	case end.Moved != "":
-		return attemptResult{ending: endMoved, next: end.Moved, started: true}
+	case end.MovedTo != "":
+		return attemptResult{ending: endMoved, next: end.MovedTo, started: true}
 	case end.Outcome == peer.OutcomeDone && end.Chunks == last:
 		return attemptResult{ending: endDone}
 	case end.Outcome == peer.OutcomeDone:
--- a/router/internal/sides/dispatch.go
+++ b/router/internal/sides/dispatch.go
@@ -119,7 +119,7 @@
 	if err != nil {
 		return
 	}
-	_ = peer.Notify(ctx, link, &peer.ChatPlaced{Chat: call.Chat, Side: served})
+	_ = peer.Notify(ctx, link, &peer.ChatServed{Chat: call.Chat, Side: served})
 }
 
 // runAtPrimary runs a call with a key or ticket, which must run at most once. Only the primary of the key, or the side
--- a/router/internal/sides/search.go
+++ b/router/internal/sides/search.go
@@ -158,7 +158,7 @@
 
 // isTransient reports whether a refusal is due to the state of one side or one attempt, so that a retry can succeed.
 func isTransient(refusal *peer.Refuse) bool {
-	return refusal != nil && (refusal.Code == peer.RefuseLeaving || refusal.Code == peer.RefuseUpstreamUnreachable || refusal.Code == peer.RefuseCancelled)
+	return refusal != nil && (refusal.Code == peer.RefuseLeaving || refusal.Code == peer.RefuseUpstreamUnreachable || refusal.Code == peer.RefuseWithdrawn)
 }
 
 // callerGoneResult returns the result of a call whose caller disconnected or whose deadline passed while it ran.
--- a/side/internal/router/handover.go
+++ b/side/internal/router/handover.go
@@ -48,7 +48,7 @@
 		if !ok {
 			continue
 		}
-		claim := &peer.Claim{From: s.Self, Service: s.serviceName, MovedBy: ack.Ended, Restarted: restarted}
+		claim := &peer.Claim{From: s.Self, Service: s.serviceName, MovedBy: ack.MovedBy, Restarted: restarted}
 		list = append(list, PendingClaim{Claim: claim, Address: address})
 	}
 	return list
--- a/side/internal/router/run.go
+++ b/side/internal/router/run.go
@@ -17,7 +17,7 @@
 	call, err := s.call(j)
 	if err != nil || !s.markStarted(j) {
 		s.abandon(j)
-		_ = st.Send(ctx, j.refuseMessage(peer.RefuseCancelled))
+		_ = st.Send(ctx, j.refuseMessage(peer.RefuseWithdrawn))
 		return
 	}
 	sink := &jobSink{server: s, job: j, ctx: ctx, stream: st}
@@ -121,7 +121,7 @@
 	}
 	end.Outcome = peer.OutcomeUnknown
 	end.Reason = "answer cut"
-	end.Moved = j.moveTo
+	end.MovedTo = j.moveTo
 	s.Log.Warn("answer cut", "request", j.submit.Request, "attempt", j.submit.Attempt, "error", err)
 	return end
 }
--- a/side/internal/router/serve.go
+++ b/side/internal/router/serve.go
@@ -16,8 +16,8 @@
 		_ = st.Send(ctx, s.queryAttempt(v))
 	case *peer.IssueTicket:
 		s.issueTicket(ctx, st)
-	case *peer.ChatPlaced:
-		s.recordPlacement(v)
+	case *peer.ChatServed:
+		s.recordServed(v)
 	default:
 		return false
 	}
@@ -51,7 +51,7 @@
 	_ = st.Send(ctx, &peer.TicketIssued{Ticket: text, Lifetime: lifetime})
 }
 
-func (s *Server) recordPlacement(p *peer.ChatPlaced) {
+func (s *Server) recordServed(p *peer.ChatServed) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.admission.CacheOwners.RecordServed(p.Chat, p.Side)
--- a/side/internal/router/server.go
+++ b/side/internal/router/server.go
@@ -194,12 +194,12 @@
 }
 
 // setUpstreams replaces the declared upstreams of the service; the caller holds the lock.
-func (s *Server) setUpstreams(f *settings.Declarations) {
-	s.upstreamSet = rendezvous.New(f.UpstreamsOf(s.serviceName))
+func (s *Server) setUpstreams(declarations *settings.Declarations) {
+	s.upstreamSet = rendezvous.New(declarations.UpstreamsOf(s.serviceName))
 	s.siblings = make([]string, 0, s.upstreamSet.Len())
 	for _, id := range s.upstreamSet.IDs() {
 		if id != s.Self {
-			s.siblings = append(s.siblings, f.Upstreams[id].Side)
+			s.siblings = append(s.siblings, declarations.Upstreams[id].Side)
 		}
 	}
 }
--- a/side/internal/router/submit.go
+++ b/side/internal/router/submit.go
@@ -49,7 +49,7 @@
 func (j *job) refuseMessage(code peer.RefuseCode) *peer.Refuse {
 	r := &peer.Refuse{Code: code, KeyNotRun: true, RetryAfter: time.Second}
 	if j.moveTo != "" {
-		r.Code = peer.RefuseHeldElsewhere
+		r.Code = peer.RefuseMoved
 		r.Next = []settings.UpstreamID{j.moveTo}
 	}
 	return r
@@ -64,7 +64,7 @@
 		return 0, &refusal{code: peer.RefuseDeadline}
 	}
 	if s.attempts.Seen(j.attempt()) {
-		return 0, &refusal{code: peer.RefuseCancelled}
+		return 0, &refusal{code: peer.RefuseWithdrawn}
 	}
 	step, refused := s.reserve(j)
 	if refused != nil {
@@ -214,7 +214,7 @@
 	}
 	now := s.Clock.Now()
 	if s.primaries.Confirm(now, j.submit.Key) != outcome.Confirmed {
-		return &refusal{code: peer.RefusePrimaryUnsure, retryAfter: s.primaries.TimeToConfirm(now)}
+		return &refusal{code: peer.RefuseUnconfirmed, retryAfter: s.primaries.TimeToConfirm(now)}
 	}
 	return nil
 }
