--- a/core/admission/controller.go
+++ b/core/admission/controller.go
@@ -27,11 +27,11 @@
 // maxMoveFactor limits the charge of a moved request to this multiple of half the load difference between the two sides.
 const maxMoveFactor = 1.5
 
-// floorRequests is the number of requests of one size that a side admits whatever the mean load is.
+// floorRequests sets the load below which a side admits a request whatever the mean load is, in requests of the same charge.
 const floorRequests = 4
 
 // noMeanTimeout is how long a side without a mean load admits no more than the floor. After that it assumes that no other
-// side can be reached.
+// side can be reached, and admits without a limit.
 const noMeanTimeout = 2 * time.Second
 
 // significantFraction is the fraction of a request's charge that prefill work must exceed to be worth a redirect or an import.
@@ -54,11 +54,11 @@
 	DecodeTokens settings.Tokens
 	// IsPrimary means that this side is the chat's primary.
 	IsPrimary bool
-	// Redirected means that another side was asked for this request before.
+	// Redirected means that another side was tried for this request before or has moved it away.
 	Redirected bool
 	// Moved means that another side has moved the request away to reduce its load.
 	Moved bool
-	// LastCandidate means that every other side that was asked had more load. The request is then admitted whatever the load.
+	// LastCandidate means that no other side that refused the request had less load. It is then admitted whatever the load.
 	LastCandidate bool
 	// CacheOwner is a side that may export the prefix, empty for none.
 	CacheOwner settings.UpstreamID
@@ -71,10 +71,10 @@
 	Charge  settings.Tokens
 	Prefill settings.Tokens
 	// ImportFrom is the side to fetch the prefix from, empty for none. CacheOwner is a side that has the prefix, for the
-	// side that is asked next.
+	// side that is tried next.
 	ImportFrom settings.UpstreamID
 	CacheOwner settings.UpstreamID
-	// Next lists the sides to ask instead, best first; unused elements are empty.
+	// Next lists the sides to try instead, best first; unused elements are empty.
 	Next [2]settings.UpstreamID
 }
 
@@ -199,7 +199,7 @@
 	return first, true
 }
 
-// setNext sets the sides to ask instead: another cache owner of the chat, then the least loaded sides.
+// setNext sets the sides to try instead: another cache owner of the chat, then the least loaded sides.
 func (c *Controller) setNext(now clock.Instant, req Request, decision *Decision) {
 	n := 0
 	if req.IsPrimary && !req.Redirected {
@@ -261,7 +261,7 @@
 	MaxCharge settings.Tokens
 }
 
-// NextMove returns a move that reduces the load, if the side has excess load and knows a less loaded side.
+// NextMove returns a move that reduces the load, if the side has excess load and has a report of a less loaded side.
 func (c *Controller) NextMove(now clock.Instant) (Move, bool) {
 	excess := c.ExcessLoad(now)
 	if excess <= 0 {
--- a/core/admission/prefixes.go
+++ b/core/admission/prefixes.go
@@ -13,8 +13,8 @@
 // anything beyond it.
 const usableFraction = 0.9
 
-// Prefixes estimates which chats' prefixes the side's engine has cached. A wrong estimate costs a cache miss and never an
-// answer. The zero value is empty and ready to use.
+// Prefixes estimates which chats' prefixes the side's engine has cached. A wrong estimate leads to extra prefill work and
+// never to a wrong answer. The zero value is empty and ready to use.
 type Prefixes struct {
 	// Limit is the size of the engine's cache in tokens, 0 for no limit.
 	Limit settings.Tokens
--- a/core/candidates/order.go
+++ b/core/candidates/order.go
@@ -19,7 +19,7 @@
 	tried       [MaxRequests]settings.UpstreamID
 	requests    int
 	primary     settings.UpstreamID
-	// leastLoaded is the side with the smallest load among those that refused because of their load.
+	// leastLoaded is the side with the smallest load among those that RecordOverloaded received.
 	leastLoaded settings.UpstreamID
 	leastLoad   settings.Tokens
 	ended       bool
@@ -49,12 +49,12 @@
 	// Redirected reports that another side was tried before.
 	Redirected bool
 	// LastCandidate reports that no further side will be tried and that this one had the smallest load among the sides that
-	// refused because of their load.
+	// RecordOverloaded received.
 	LastCandidate bool
 }
 
 // Next returns the next side to try, and false if there is none left. At the end, the least loaded of the sides that
-// refused because of their load is tried once more. It takes the request if it can run it at all.
+// RecordOverloaded received is tried once more. That side then admits the request whatever its load.
 func (o *Order) Next() (Step, bool) {
 	if o.ended {
 		return Step{}, false
@@ -106,7 +106,7 @@
 	o.namedCount = copy(o.named[:], next)
 }
 
-// RecordOverloaded records that a side refused because of its load.
+// RecordOverloaded records the load of a side that refused as overloaded or in favour of another side.
 func (o *Order) RecordOverloaded(side settings.UpstreamID, load settings.Tokens) {
 	if o.leastLoaded == "" || load < o.leastLoad {
 		o.leastLoaded = side
--- a/core/gossip/service.go
+++ b/core/gossip/service.go
@@ -32,7 +32,7 @@
 	Dial(ctx context.Context, address string) (*peer.Link, error)
 }
 
-// Service keeps the version in force equal to the newest one that any peer has.
+// Service pulls newer versions of the declarations from the peers and announces each accepted version to them.
 type Service struct {
 	Store  *revision.Store
 	Dialer Dialer
@@ -252,12 +252,12 @@
 }
 
 // SideAddresses returns the peer addresses of the declared sides that are not destroyed.
-func SideAddresses(f *settings.Declarations) []string {
-	if f == nil {
+func SideAddresses(declarations *settings.Declarations) []string {
+	if declarations == nil {
 		return nil
 	}
 	var addresses []string
-	for _, u := range f.Upstreams {
+	for _, u := range declarations.Upstreams {
 		if !u.Destroyed {
 			addresses = append(addresses, u.Side)
 		}
--- a/core/inflight/tracker.go
+++ b/core/inflight/tracker.go
@@ -11,7 +11,7 @@
 // reportLifetime is how long another router's counts stay valid: several exchanges, and less than a request lasts.
 const reportLifetime = 1500 * time.Millisecond
 
-// RouterID identifies another router.
+// RouterID identifies a router.
 type RouterID string
 
 // Counts holds the number of open requests by upstream.
--- a/core/meanload/estimator.go
+++ b/core/meanload/estimator.go
@@ -26,7 +26,7 @@
 	maxReportAge = 2 * time.Second
 )
 
-// Sample is the message that each side sends in an exchange. Mean is valid if Known is true.
+// Sample is the message that each side sends in an exchange. Mean is valid if MeanKnown is true.
 type Sample struct {
 	Side      settings.UpstreamID
 	Load      settings.Tokens
@@ -70,12 +70,12 @@
 func (e *Estimator) Merge(now clock.Instant, own settings.Tokens, other Sample) {
 	current := (own + other.Load) / 2
 	estimate := current
-	mine, known := e.Mean(now)
+	local, known := e.Mean(now)
 	switch {
 	case known && other.MeanKnown:
-		estimate = (mine + other.Mean) / 2
+		estimate = (local + other.Mean) / 2
 	case known:
-		estimate = mine
+		estimate = local
 	case other.MeanKnown:
 		estimate = other.Mean
 	}
--- a/core/overlay/peerset.go
+++ b/core/overlay/peerset.go
@@ -45,7 +45,7 @@
 }
 
 // Pick returns a random peer, or false if there is none. It checks only the picked peer against the candidates, so that
-// one search is the only cost that grows with the fleet.
+// its cost grows with the fleet by no more than that search.
 func (s *PeerSet) Pick(candidates []string) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/core/polling/select.go
+++ b/core/polling/select.go
@@ -35,7 +35,7 @@
 	// Self is this router, Others are the reachable routers that can poll.
 	Self   Candidate
 	Others []Candidate
-	// UpdateAge is the age of the newest read of the directory that other routers have reported.
+	// UpdateAge is the time since the newest read of the directory that another router has reported.
 	UpdateAge time.Duration
 }
 
--- a/core/revision/store.go
+++ b/core/revision/store.go
@@ -14,7 +14,7 @@
 // Digest identifies the content of a version, whatever the order of its documents.
 type Digest uint64
 
-// Version identifies one complete set of declarations.
+// Version identifies one complete set of declarations. A Digest of zero means that the digest is unknown.
 type Version struct {
 	Revision settings.Revision `json:"revision"`
 	Digest   Digest            `json:"digest"`
@@ -33,9 +33,13 @@
 // The outcomes of an offer.
 const (
 	Accepted Result = iota
+	// Stale means that the offered version is not newer than the one in force.
 	Stale
+	// Gap means that the delta cannot be applied to the version in force.
 	Gap
+	// Invalid means that a declaration of the version is invalid.
 	Invalid
+	// Diverged means that the offered version has the revision in force with another content.
 	Diverged
 )
 
@@ -43,7 +47,7 @@
 	return [...]string{"accepted", "stale", "gap", "invalid", "diverged"}[r]
 }
 
-// InvalidError reports a version that was refused as a whole because a declaration in it is invalid.
+// InvalidError reports a version that was refused because a declaration in it is invalid.
 type InvalidError struct {
 	Version  Version
 	Problems error
@@ -81,7 +85,7 @@
 	watchers     []func(Change)
 }
 
-// Change is an accepted version with the way to it from the previous one.
+// Change is an accepted version and its difference from the previous one.
 type Change struct {
 	Version      Version
 	Declarations *settings.Declarations
--- a/core/settings/declarations.go
+++ b/core/settings/declarations.go
@@ -61,7 +61,7 @@
 	MaxConnections int `json:"max_connections,omitempty" yaml:"max_connections,omitempty"`
 }
 
-// Upstream declares one upstream and the address of its side process.
+// Upstream declares one upstream. Side is the peer address of its side process.
 type Upstream struct {
 	Service    ServiceName `json:"service" yaml:"service"`
 	DataCentre DataCentre  `json:"data_centre" yaml:"data_centre"`
--- a/core/settings/doc.go
+++ b/core/settings/doc.go
@@ -1,3 +1,3 @@
-// Package settings defines all settings of the system as plain structs: the declarations that operators publish for the
-// whole fleet, and the settings file of each process.
+// Package settings defines all settings of the system as plain structs: the declarations that operators publish for all
+// processes, and the settings file of each process.
 package settings
--- a/core/settings/document.go
+++ b/core/settings/document.go
@@ -87,8 +87,8 @@
 	return newDeclarations().With(docs)
 }
 
-// With returns the declarations after a change and validates what the change can affect. Unchanged declarations are copied,
-// so that the work grows with the change and hardly with the fleet.
+// With returns the declarations after a change and validates what the change can affect. Unchanged declarations are
+// only copied, so that the work depends mostly on the size of the change.
 func (d *Declarations) With(docs []Document) (*Declarations, error) {
 	next := d.clone()
 	var problems Problems
--- a/core/settings/process.go
+++ b/core/settings/process.go
@@ -105,9 +105,9 @@
 	DefaultIdleTime    = 60 * time.Second
 	DefaultOpenCalls   = 4096
 
-	DefaultRepeatRatio  = 0.1
-	DefaultRepeatSlack  = 10.0
-	DefaultRepeatWindow = 10 * time.Second
+	DefaultRetryRatio  = 0.1
+	DefaultRetrySlack  = 10.0
+	DefaultRetryWindow = 10 * time.Second
 )
 
 // Parts of the time between the stop signal and the kill.
@@ -136,9 +136,9 @@
 	setDefault(&r.Limits.IdleTime, DefaultIdleTime)
 	setDefault(&r.Limits.OpenCalls, DefaultOpenCalls)
 	if r.Direct != nil {
-		setDefault(&r.Direct.RetryBudget.Ratio, DefaultRepeatRatio)
-		setDefault(&r.Direct.RetryBudget.Slack, DefaultRepeatSlack)
-		setDefault(&r.Direct.RetryBudget.Window, DefaultRepeatWindow)
+		setDefault(&r.Direct.RetryBudget.Ratio, DefaultRetryRatio)
+		setDefault(&r.Direct.RetryBudget.Slack, DefaultRetrySlack)
+		setDefault(&r.Direct.RetryBudget.Window, DefaultRetryWindow)
 	}
 	if len(r.Allow) == 0 {
 		r.Allow = DefaultAllow
--- a/core/waiting/queue.go
+++ b/core/waiting/queue.go
@@ -140,5 +140,7 @@
 
 func clampRetryAfter(d time.Duration) time.Duration { return min(max(d, minRetryAfter), maxRetryAfter) }
 
-// NoUpstreamWait returns how long a request waits while its service has no upstream, at most a quarter of the time left.
-func NoUpstreamWait(left time.Duration) time.Duration { return min(maxNoUpstreamWait, left/4) }
+// NoUpstreamWait returns how long a request waits while its service has no upstream, at most a quarter of the time that remains.
+func NoUpstreamWait(remaining time.Duration) time.Duration {
+	return min(maxNoUpstreamWait, remaining/4)
+}
