--- a/core/admission/controller.go
+++ b/core/admission/controller.go
@@ -37,7 +37,7 @@
 // significantFraction is the fraction of a request's charge that prefill work must exceed to be worth a redirect or an import.
 const significantFraction = 0.15
 
-// Policy is what a service's declaration says about load.
+// Policy holds the load limits of a service and what its engines can do, both from its declaration.
 type Policy struct {
 	// Multiple is the declared limit of a side's load, as a multiple of the mean load.
 	Multiple float64
@@ -64,7 +64,7 @@
 	CacheOwner settings.UpstreamID
 }
 
-// Decision is the answer to a Request.
+// Decision is the result of Controller.Decide for a Request.
 type Decision struct {
 	Admitted bool
 	// Charge is the load to count until the request ends; Prefill is the part of it that ends with the first token.
--- a/core/candidates/order.go
+++ b/core/candidates/order.go
@@ -12,6 +12,7 @@
 
 // Order yields the sides to try for one request. It cannot be reused.
 type Order struct {
+	// ranked holds the sides by rendezvous rank, and named those that the hint or the last refusal names.
 	ranked      [3]settings.UpstreamID
 	rankedCount int
 	named       [4]settings.UpstreamID
--- a/core/inflight/tracker.go
+++ b/core/inflight/tracker.go
@@ -8,7 +8,7 @@
 	"rattantrack.dev/core/settings"
 )
 
-// reportLifetime is how long another router's counts stay valid: several exchanges, and less than a request lasts.
+// reportLifetime is how long another router's counts stay valid. It spans several exchanges and is shorter than most requests.
 const reportLifetime = 1500 * time.Millisecond
 
 // RouterID identifies a router.
--- a/core/members/registry.go
+++ b/core/members/registry.go
@@ -10,7 +10,8 @@
 	"rattantrack.dev/core/settings"
 )
 
-// Revision orders the changes of an instance's directory entry.
+// Revision is the position in the directory's history at which an instance's entry was written. It is unrelated to the
+// revision of the declarations.
 type Revision uint64
 
 // Incarnation distinguishes the successive processes of an upstream under one id. It is the Unix time of the process's
--- a/core/peer/request.go
+++ b/core/peer/request.go
@@ -38,7 +38,7 @@
 	Path      string
 	Headers   []Header
 	Body      []byte
-	// PromptTokens is the router's estimate of the prompt length.
+	// PromptTokens is the router's estimate of the length of the prompt and Resume together.
 	PromptTokens settings.Tokens
 	// Resume is the text that the caller already has, and Offset the number of chunks that carried it.
 	Resume string
@@ -106,7 +106,7 @@
 // Kind returns KindRefuse.
 func (*Refuse) Kind() Kind { return KindRefuse }
 
-// Chunk is one piece of a response.
+// Chunk carries a part of a response's body.
 type Chunk struct {
 	Attempt AttemptID
 	Seq     uint32
@@ -135,7 +135,7 @@
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// End closes a response and carries its number of chunks.
+// End closes a response.
 type End struct {
 	Attempt AttemptID
 	Outcome Outcome
@@ -149,7 +149,8 @@
 // Kind returns KindEnd.
 func (*End) Kind() Kind { return KindEnd }
 
-// Cancel stops the attempt that was submitted on the same stream. The sender wants no response.
+// Cancel requests that the side stops the attempt that was submitted on the same stream. A started attempt of a profile that is
+// not idempotent continues, since it must not run a second time.
 type Cancel struct {
 }
 
@@ -160,7 +161,7 @@
 type AttemptState struct {
 	// Started reports that the attempt was sent to the upstream.
 	Started bool
-	// Certain is false if the side does not know whether the attempt has started or cannot prevent its start.
+	// Certain is false if the side has no record of the attempt and no room to record that it must not start.
 	Certain bool
 }
 
--- a/core/revision/store.go
+++ b/core/revision/store.go
@@ -133,7 +133,7 @@
 	return Status{Version: s.version, Refused: s.refused, Reason: s.reason, Diverged: s.diverged}
 }
 
-// Since returns the changes after a revision, or all documents if those changes are no longer known.
+// Since returns the changes after a revision, or all documents if the store no longer has all of those changes.
 func (s *Store) Since(from settings.Revision) Delta {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/core/warmup/assign.go
+++ b/core/warmup/assign.go
@@ -30,8 +30,8 @@
 	Elapsed time.Duration
 }
 
-// Assigned reports whether this router has to query an engine. When all routers start at once, they do not know each
-// other yet, and only the seeds in their settings can divide the engines among them. If each router decided on its own,
+// Assigned reports whether this router has to query an engine. When all routers start at once, they have not reached
+// each other yet, and only the seeds in their settings can divide the engines among them. If each router decided on its own,
 // every engine would be queried once by every router, just when the clients come back.
 func Assigned(s State, engine settings.UpstreamID) bool {
 	if s.Elapsed < TakeoverDelay {
