--- a/core/gossip/service.go
+++ b/core/gossip/service.go
@@ -32,7 +32,7 @@
 	Dial(ctx context.Context, address string) (*peer.Link, error)
 }
 
-// Service keeps the version in force equal to the newest one that any peer has.
+// Service pulls newer versions of the declarations from the peers and announces each accepted version to them.
 type Service struct {
 	Store  *revision.Store
 	Dialer Dialer
@@ -160,7 +160,7 @@
 		s.peers.Drop(address)
 		return
 	}
-	theirs, err := peer.Ask[*peer.Announce](ctx, link, s.announcement(), requestTimeout)
+	theirs, err := peer.Request[*peer.Announce](ctx, link, s.announcement(), requestTimeout)
 	if err != nil {
 		s.peers.Drop(address)
 		return
@@ -204,7 +204,7 @@
 	}
 	since := local.Revision
 	for range 2 {
-		reply, err := peer.Ask[*peer.DeltaReply](ctx, link, &peer.Pull{Since: since}, requestTimeout)
+		reply, err := peer.Request[*peer.DeltaReply](ctx, link, &peer.Pull{Since: since}, requestTimeout)
 		if err != nil {
 			return
 		}
@@ -252,12 +252,12 @@
 }
 
 // SideAddresses returns the peer addresses of the declared sides that are not destroyed.
-func SideAddresses(f *settings.Declarations) []string {
-	if f == nil {
+func SideAddresses(declarations *settings.Declarations) []string {
+	if declarations == nil {
 		return nil
 	}
 	var addresses []string
-	for _, u := range f.Upstreams {
+	for _, u := range declarations.Upstreams {
 		if !u.Destroyed {
 			addresses = append(addresses, u.Side)
 		}
--- a/core/peer/dial.go
+++ b/core/peer/dial.go
@@ -54,10 +54,10 @@
 
 // Endpoint accepts and dials links for one process. It keeps dialled links by address and dials again after one has ended.
 type Endpoint struct {
-	// Local returns the Hello of this process.
-	Local   func() Hello
-	Handler Handler
-	Allow   Networks
+	// LocalHello returns the Hello of this process.
+	LocalHello func() Hello
+	Handler    Handler
+	Allow      Networks
 	// OnReject is called for each rejected connection.
 	OnReject func(err error)
 	// Identity encrypts the links and authenticates both ends to each other. Without it, links are plain TCP.
@@ -68,7 +68,7 @@
 	DialTimeout time.Duration
 
 	mu sync.Mutex
-	// dialled holds the outgoing links by address, and addresses the remote address of each open link.
+	// dialled holds the outgoing links by address. addresses holds the remote address of each open link, incoming ones too.
 	dialled   map[string]*dialledLink
 	addresses map[*Link]string
 }
@@ -111,7 +111,7 @@
 	if e.Identity != nil {
 		conn = tls.Server(conn, e.Identity.ServerConfig())
 	}
-	l, err := newLink(ctx, conn, e.Local(), false)
+	l, err := newLink(ctx, conn, e.LocalHello(), false)
 	if err != nil {
 		e.reject(err)
 		return
@@ -177,7 +177,7 @@
 		}
 		e.dialled[address] = d
 		go e.connect(address, d)
-		defer e.trim()
+		defer e.closeExcess()
 	}
 	e.mu.Unlock()
 	select {
@@ -188,8 +188,8 @@
 	}
 }
 
-// trim closes dialled links, longest idle first, while there are too many.
-func (e *Endpoint) trim() {
+// closeExcess closes dialled links without streams, longest idle first, while there are more than MaxDialled.
+func (e *Endpoint) closeExcess() {
 	for idlest := e.longestIdle(); idlest != nil; idlest = e.longestIdle() {
 		idlest.Close(nil)
 	}
@@ -245,7 +245,7 @@
 	if e.Identity != nil {
 		conn = tls.Client(conn, e.Identity.ClientConfig())
 	}
-	l, err := newLink(ctx, conn, e.Local(), true)
+	l, err := newLink(ctx, conn, e.LocalHello(), true)
 	if err != nil {
 		return nil, errors.Wrapf(err, "handshake with %s", address)
 	}
--- a/core/peer/request.go
+++ b/core/peer/request.go
@@ -38,7 +38,7 @@
 	Path      string
 	Headers   []Header
 	Body      []byte
-	// PromptTokens is the router's estimate of the prompt length.
+	// PromptTokens is the router's estimate of the length of the prompt and Resume together.
 	PromptTokens settings.Tokens
 	// Resume is the text that the caller already has, and Offset the number of chunks that carried it.
 	Resume string
@@ -46,9 +46,9 @@
 	// Redirected reports that another side was tried before or has moved the request.
 	Redirected bool
 	// LastCandidate reports that no further side will be tried and that this one had the smallest load among the sides that
-	// refused because of their load.
+	// refused with RefuseOverloaded.
 	LastCandidate bool
-	// Moves counts how often an overloaded side has moved the request to another side.
+	// Moves is the number of times that a side has moved the request to another side to reduce its load.
 	Moves int
 	// CacheOwner is a side whose engine may export the chat's prefix.
 	CacheOwner settings.UpstreamID
@@ -69,22 +69,23 @@
 // RefuseCode is the reason why a side refused an attempt.
 type RefuseCode string
 
-// The reasons for a refusal.
+// The reasons for a refusal. RefuseOverloaded also stands for a redirect to a side that has the prefix cached or less load,
+// and RefuseMoved for an accepted request that was moved to another side before it started.
 const (
-	RefuseLeaving       RefuseCode = "leaving"
-	RefuseOverloaded    RefuseCode = "overloaded"
-	RefuseHeldElsewhere RefuseCode = "held_elsewhere"
-	RefuseDeadline      RefuseCode = "deadline_too_short"
-	RefuseTableFull     RefuseCode = "table_full"
-	RefuseNotPrimary    RefuseCode = "not_home"
-	RefusePrimaryUnsure RefuseCode = "home_cannot_rule_out_an_earlier_run"
-	RefuseKeyReused     RefuseCode = "key_reused"
-	RefuseIncarnation   RefuseCode = "upstream_was_replaced"
-	RefuseTicket        RefuseCode = "ticket_invalid"
-	RefuseCancelled     RefuseCode = "attempt_was_cancelled"
-	RefuseResultLost    RefuseCode = "earlier_run_without_result"
-	RefuseProfile       RefuseCode = "unknown_profile"
-	RefuseUpstream      RefuseCode = "upstream_unreachable"
+	RefuseLeaving             RefuseCode = "leaving"
+	RefuseOverloaded          RefuseCode = "overloaded"
+	RefuseMoved               RefuseCode = "held_elsewhere"
+	RefuseDeadline            RefuseCode = "deadline_too_short"
+	RefuseTableFull           RefuseCode = "table_full"
+	RefuseNotPrimary          RefuseCode = "not_home"
+	RefuseUnconfirmed         RefuseCode = "home_cannot_rule_out_an_earlier_run"
+	RefuseKeyReused           RefuseCode = "key_reused"
+	RefuseIncarnation         RefuseCode = "upstream_was_replaced"
+	RefuseTicketInvalid       RefuseCode = "ticket_invalid"
+	RefuseWithdrawn           RefuseCode = "attempt_was_cancelled"
+	RefuseResultLost          RefuseCode = "earlier_run_without_result"
+	RefuseUnknownProfile      RefuseCode = "unknown_profile"
+	RefuseUpstreamUnreachable RefuseCode = "upstream_unreachable"
 )
 
 // Refuse reports that the attempt was not run and never will be.
@@ -105,7 +106,7 @@
 // Kind returns KindRefuse.
 func (*Refuse) Kind() Kind { return KindRefuse }
 
-// Chunk is one piece of a response.
+// Chunk carries a part of a response's body.
 type Chunk struct {
 	Attempt AttemptID
 	Seq     uint32
@@ -134,21 +135,22 @@
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// End closes a response and carries its number of chunks.
+// End closes a response.
 type End struct {
 	Attempt AttemptID
 	Outcome Outcome
 	// Chunks is the number of the last chunk.
 	Chunks uint32
-	// Moved names the side that should continue the response after Chunks.
-	Moved  settings.UpstreamID
-	Reason string
+	// MovedTo is the side that should continue the response after Chunks, empty if none.
+	MovedTo settings.UpstreamID
+	Reason  string
 }
 
 // Kind returns KindEnd.
 func (*End) Kind() Kind { return KindEnd }
 
-// Cancel stops the attempt that was submitted on the same stream. The sender wants no response.
+// Cancel requests that the side stops the attempt that was submitted on the same stream. A started attempt of a profile that is
+// not idempotent continues, since it must not run a second time.
 type Cancel struct {
 }
 
@@ -159,11 +161,11 @@
 type AttemptState struct {
 	// Started reports that the attempt was sent to the upstream.
 	Started bool
-	// Certain is false if the side does not know whether the attempt has started or cannot prevent its start.
+	// Certain is false if the side has no record of the attempt and no room to record that it must not start.
 	Certain bool
 }
 
-// Kind returns KindState.
+// Kind returns KindAttemptState.
 func (*AttemptState) Kind() Kind { return KindAttemptState }
 
 // AttemptQuery requests whether an attempt has started, and prevents its start if it has not.
@@ -174,7 +176,7 @@
 	Remaining time.Duration
 }
 
-// Kind returns KindQuery.
+// Kind returns KindAttemptQuery.
 func (*AttemptQuery) Kind() Kind { return KindAttemptQuery }
 
 // IssueTicket requests a ticket from a side.
@@ -182,7 +184,7 @@
 	Profile settings.ProfileName
 }
 
-// Kind returns KindIssue.
+// Kind returns KindIssueTicket.
 func (*IssueTicket) Kind() Kind { return KindIssueTicket }
 
 // TicketIssued carries a ticket.
@@ -191,14 +193,14 @@
 	Lifetime time.Duration
 }
 
-// Kind returns KindIssued.
+// Kind returns KindTicketIssued.
 func (*TicketIssued) Kind() Kind { return KindTicketIssued }
 
-// ChatPlaced reports to a chat's primary which side served the chat.
-type ChatPlaced struct {
+// ChatServed reports to a chat's primary which side served the chat.
+type ChatServed struct {
 	Chat uint64
 	Side settings.UpstreamID
 }
 
-// Kind returns KindPlaced.
-func (*ChatPlaced) Kind() Kind { return KindChatPlaced }
+// Kind returns KindChatServed.
+func (*ChatServed) Kind() Kind { return KindChatServed }
--- a/core/revision/store.go
+++ b/core/revision/store.go
@@ -14,7 +14,7 @@
 // Digest identifies the content of a version, whatever the order of its documents.
 type Digest uint64
 
-// Version identifies one complete set of declarations.
+// Version identifies one complete set of declarations. A Digest of zero means that the digest is unknown.
 type Version struct {
 	Revision settings.Revision `json:"revision"`
 	Digest   Digest            `json:"digest"`
@@ -33,9 +33,13 @@
 // The outcomes of an offer.
 const (
 	Accepted Result = iota
+	// Stale means that the offered version is not newer than the one in force.
 	Stale
+	// Gap means that the delta cannot be applied to the version in force.
 	Gap
+	// Invalid means that a declaration of the version is invalid.
 	Invalid
+	// Diverged means that the offered version has the revision in force with another content.
 	Diverged
 )
 
@@ -43,7 +47,7 @@
 	return [...]string{"accepted", "stale", "gap", "invalid", "diverged"}[r]
 }
 
-// InvalidError reports a version that was refused as a whole because a declaration in it is invalid.
+// InvalidError reports a version that was refused because a declaration in it is invalid.
 type InvalidError struct {
 	Version  Version
 	Problems error
@@ -81,10 +85,10 @@
 	watchers     []func(Change)
 }
 
-// Change is an accepted version with the way to it from the previous one.
+// Change is an accepted version and its difference from the previous one.
 type Change struct {
-	Version Version
-	Fleet   *settings.Declarations
+	Version      Version
+	Declarations *settings.Declarations
 	// Consecutive is set if the version came as a delta and directly follows the previous one.
 	Consecutive bool
 	// Complete is set if Documents does not limit the change: any declaration may differ from the previous version.
@@ -111,7 +115,7 @@
 	defer s.mu.Unlock()
 	s.watchers = append(s.watchers, f)
 	if s.declarations != nil {
-		f(Change{Version: s.version, Fleet: s.declarations, Complete: true})
+		f(Change{Version: s.version, Declarations: s.declarations, Complete: true})
 	}
 }
 
@@ -129,7 +133,7 @@
 	return Status{Version: s.version, Refused: s.refused, Reason: s.reason, Diverged: s.diverged}
 }
 
-// Since returns the changes after a revision, or all documents if those changes are no longer known.
+// Since returns the changes after a revision, or all documents if the store no longer has all of those changes.
 func (s *Store) Since(from settings.Revision) Delta {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -257,11 +261,11 @@
 		s.compacted = delta.To.Revision
 	}
 	change := Change{
-		Version:     delta.To,
-		Fleet:       declarations,
-		Consecutive: delta.From > 0 && delta.To.Revision == s.version.Revision+1,
-		Complete:    delta.From == 0,
-		Documents:   changed,
+		Version:      delta.To,
+		Declarations: declarations,
+		Consecutive:  delta.From > 0 && delta.To.Revision == s.version.Revision+1,
+		Complete:     delta.From == 0,
+		Documents:    changed,
 	}
 	s.declarations = declarations
 	s.version = delta.To
--- a/core/settings/process.go
+++ b/core/settings/process.go
@@ -105,9 +105,9 @@
 	DefaultIdleTime    = 60 * time.Second
 	DefaultOpenCalls   = 4096
 
-	DefaultRepeatRatio  = 0.1
-	DefaultRepeatSlack  = 10.0
-	DefaultRepeatWindow = 10 * time.Second
+	DefaultRetryRatio  = 0.1
+	DefaultRetrySlack  = 10.0
+	DefaultRetryWindow = 10 * time.Second
 )
 
 // Parts of the time between the stop signal and the kill.
@@ -121,8 +121,8 @@
 // DefaultAllow allows only processes on the same machine.
 var DefaultAllow = []string{"127.0.0.0/8"}
 
-// Default sets the fields that the file left out.
-func (r *Router) Default() {
+// SetDefaults sets the fields that the file left out.
+func (r *Router) SetDefaults() {
 	setDefault(&r.NoticeTime, DefaultNoticeTime)
 	if r.GraceTime > 0 {
 		r.NoticeTime = min(r.NoticeTime, r.GraceTime/noticeDivisor)
@@ -136,17 +136,17 @@
 	setDefault(&r.Limits.IdleTime, DefaultIdleTime)
 	setDefault(&r.Limits.OpenCalls, DefaultOpenCalls)
 	if r.Direct != nil {
-		setDefault(&r.Direct.RetryBudget.Ratio, DefaultRepeatRatio)
-		setDefault(&r.Direct.RetryBudget.Slack, DefaultRepeatSlack)
-		setDefault(&r.Direct.RetryBudget.Window, DefaultRepeatWindow)
+		setDefault(&r.Direct.RetryBudget.Ratio, DefaultRetryRatio)
+		setDefault(&r.Direct.RetryBudget.Slack, DefaultRetrySlack)
+		setDefault(&r.Direct.RetryBudget.Window, DefaultRetryWindow)
 	}
 	if len(r.Allow) == 0 {
 		r.Allow = DefaultAllow
 	}
 }
 
-// Default sets the fields that the file left out.
-func (s *Side) Default() {
+// SetDefaults sets the fields that the file left out.
+func (s *Side) SetDefaults() {
 	setDefault(&s.DrainTime, DefaultDrainTime)
 	if len(s.Allow) == 0 {
 		s.Allow = DefaultAllow
--- a/side/internal/router/run.go
+++ b/side/internal/router/run.go
@@ -17,7 +17,7 @@
 	call, err := s.call(j)
 	if err != nil || !s.markStarted(j) {
 		s.abandon(j)
-		_ = st.Send(ctx, j.refuseMessage(peer.RefuseCancelled))
+		_ = st.Send(ctx, j.refuseMessage(peer.RefuseWithdrawn))
 		return
 	}
 	sink := &jobSink{server: s, job: j, ctx: ctx, stream: st}
@@ -26,7 +26,7 @@
 	if errors.As(err, &notSent) {
 		s.abandon(j)
 		s.Log.Warn("upstream unreachable", "request", j.submit.Request, "error", err)
-		_ = st.Send(ctx, j.refuseMessage(peer.RefuseUpstream))
+		_ = st.Send(ctx, j.refuseMessage(peer.RefuseUpstreamUnreachable))
 		return
 	}
 	s.recordResult(j, usage, err)
@@ -109,7 +109,7 @@
 		return
 	}
 	s.admission.Prefixes.RecordStored(j.submit.Chat, usage.Prompt+usage.Answer)
-	if primary, ok := s.upstreamSet.Home(j.submit.Chat); ok && primary == s.Self {
+	if primary, ok := s.upstreamSet.Primary(j.submit.Chat); ok && primary == s.Self {
 		s.admission.CacheOwners.RecordServed(j.submit.Chat, s.Self)
 	}
 }
@@ -121,7 +121,7 @@
 	}
 	end.Outcome = peer.OutcomeUnknown
 	end.Reason = "answer cut"
-	end.Moved = j.moveTo
+	end.MovedTo = j.moveTo
 	s.Log.Warn("answer cut", "request", j.submit.Request, "attempt", j.submit.Attempt, "error", err)
 	return end
 }
@@ -193,7 +193,7 @@
 func (s *jobSink) firstToken() {
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
-	s.server.admission.FirstToken(&s.job.decision)
+	s.server.admission.RecordFirstToken(&s.job.decision)
 	if m := s.job.submit; m.Chat != 0 {
 		s.server.admission.Prefixes.RecordStored(m.Chat, m.PromptTokens)
 	}
--- a/side/internal/router/submit.go
+++ b/side/internal/router/submit.go
@@ -49,7 +49,7 @@
 func (j *job) refuseMessage(code peer.RefuseCode) *peer.Refuse {
 	r := &peer.Refuse{Code: code, KeyNotRun: true, RetryAfter: time.Second}
 	if j.moveTo != "" {
-		r.Code = peer.RefuseHeldElsewhere
+		r.Code = peer.RefuseMoved
 		r.Next = []settings.UpstreamID{j.moveTo}
 	}
 	return r
@@ -64,7 +64,7 @@
 		return 0, &refusal{code: peer.RefuseDeadline}
 	}
 	if s.attempts.Seen(j.attempt()) {
-		return 0, &refusal{code: peer.RefuseCancelled}
+		return 0, &refusal{code: peer.RefuseWithdrawn}
 	}
 	step, refused := s.reserve(j)
 	if refused != nil {
@@ -78,7 +78,7 @@
 func (s *Server) reserve(j *job) (outcome.Step, *refusal) {
 	profile, ok := s.profile(j.submit.Profile)
 	if !ok {
-		return 0, &refusal{code: peer.RefuseProfile, retryAfter: time.Second}
+		return 0, &refusal{code: peer.RefuseUnknownProfile, retryAfter: time.Second}
 	}
 	j.profile = profile
 	if j.key() != "" {
@@ -141,7 +141,7 @@
 // admit submits a job to the admission controller; the caller holds the lock.
 func (s *Server) admit(j *job) *refusal {
 	m := j.submit
-	primary, _ := s.upstreamSet.Home(m.Chat)
+	primary, _ := s.upstreamSet.Primary(m.Chat)
 	request := admission.Request{
 		Chat:          m.Chat,
 		PromptTokens:  m.PromptTokens,
@@ -197,7 +197,7 @@
 	if j.submit.Ticket != "" {
 		err := s.Issuer.Check(s.Clock.Now(), j.submit.Ticket, s.service.KeyLifetime)
 		if err != nil {
-			return &refusal{code: peer.RefuseTicket}
+			return &refusal{code: peer.RefuseTicketInvalid}
 		}
 		return nil
 	}
@@ -214,7 +214,7 @@
 	}
 	now := s.Clock.Now()
 	if s.primaries.Confirm(now, j.submit.Key) != outcome.Confirmed {
-		return &refusal{code: peer.RefusePrimaryUnsure, retryAfter: s.primaries.TimeToConfirm(now)}
+		return &refusal{code: peer.RefuseUnconfirmed, retryAfter: s.primaries.TimeToConfirm(now)}
 	}
 	return nil
 }
