--- a/standin/internal/cmd/engine.go
+++ b/standin/internal/cmd/engine.go
@@ -17,7 +17,7 @@
 	ReportLag   time.Duration `default:"1s" help:"Age of the load report."`
 }
 
-// Run serves until ctx ends.
+// Run serves the simulated engine until ctx ends.
 func (c *engineCmd) Run(ctx context.Context) error {
 	e := engine.New(engine.Settings{
 		Model:       c.Model,
@@ -27,6 +27,6 @@
 		MaxBatch:    c.MaxBatch,
 		ReportLag:   c.ReportLag,
 	})
-	go e.Lag(ctx.Done())
+	go e.RefreshLoadReport(ctx.Done())
 	return serve(ctx, c.Listen, e.Handler())
 }
--- a/standin/internal/configuration/doc.go
+++ b/standin/internal/configuration/doc.go
@@ -1,2 +1,2 @@
-// Package configuration is a small stand-in for the platform's configuration service.
+// Package configuration simulates the platform's configuration service for tests and the demo.
 package configuration
--- a/standin/internal/configuration/service.go
+++ b/standin/internal/configuration/service.go
@@ -13,20 +13,21 @@
 	"rattantrack.dev/standin/internal/faults"
 )
 
-// Faults are switched on by a test's call to /faults.
+// Faults are the faults that POST /faults sets.
 type Faults struct {
-	// Down answers every read with status 503.
+	// Down fails every read with status 503.
 	Down bool `json:"down"`
-	// StaleRevision answers as if no later revision existed, where it is above zero.
+	// StaleRevision, if not 0, hides the later revisions from readers.
 	StaleRevision settings.Revision `json:"stale_revision"`
-	DelayMS       int               `json:"delay_ms"`
+	// DelayMS is the duration of each read in milliseconds.
+	DelayMS int `json:"delay_ms"`
 }
 
-// Service holds documents and counts how often it is read.
+// Service serves versioned documents and counts the reads.
 type Service struct {
 	mu       sync.Mutex
 	revision settings.Revision
-	// history holds the documents of every revision, for stale answers.
+	// history holds the documents of every revision, for stale responses.
 	history map[settings.Revision][]settings.Document
 	reads   int
 	faults  faults.Switch[Faults]
@@ -36,27 +37,27 @@
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/changes", s.changes)
-	mux.HandleFunc("GET /reads", s.countReads)
+	mux.HandleFunc("GET /reads", s.handleReads)
 	mux.Handle("POST /faults", &s.faults)
 	mux.HandleFunc("POST /publish", s.publish)
 	return mux
 }
 
-// Publish puts documents in force as the next revision; it is what the operators' own tools do.
+// Publish publishes changed documents as the next revision, as the operators' tools do at the real service.
 func (s *Service) Publish(changed []settings.Document) settings.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	next := make(map[settings.DocumentKey]settings.Document)
+	documents := make(map[settings.DocumentKey]settings.Document)
 	for _, d := range s.history[s.revision] {
-		next[d.Key] = d
+		documents[d.Key] = d
 	}
 	s.revision++
 	for _, d := range changed {
 		d.Revision = s.revision
-		next[d.Key] = d
+		documents[d.Key] = d
 	}
-	list := make([]settings.Document, 0, len(next))
-	for _, d := range next {
+	list := make([]settings.Document, 0, len(documents))
+	for _, d := range documents {
 		list = append(list, d)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Key < list[j].Key })
@@ -80,25 +81,26 @@
 	since, _ := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
 	s.mu.Lock()
 	s.reads++
-	present := s.faults.Get()
-	answer := s.answer(settings.Revision(since), present)
+	active := s.faults.Get()
+	changes := s.changesSince(settings.Revision(since), active)
 	s.mu.Unlock()
-	time.Sleep(time.Duration(present.DelayMS) * time.Millisecond)
-	if present.Down {
+	time.Sleep(time.Duration(active.DelayMS) * time.Millisecond)
+	if active.Down {
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return
 	}
-	_ = json.NewEncoder(w).Encode(answer)
+	_ = json.NewEncoder(w).Encode(changes)
 }
 
-// answer lists what changed after a revision; the caller holds the lock.
-func (s *Service) answer(since settings.Revision, f Faults) configuration.Changes {
-	at := s.revision
+// changesSince returns the documents that changed after a revision, or all of them since revision 0. The caller holds the
+// lock.
+func (s *Service) changesSince(since settings.Revision, f Faults) configuration.Changes {
+	current := s.revision
 	if f.StaleRevision > 0 {
-		at = min(at, f.StaleRevision)
+		current = min(current, f.StaleRevision)
 	}
-	c := configuration.Changes{Revision: at, Complete: since == 0}
-	for _, d := range s.history[at] {
+	c := configuration.Changes{Revision: current, Complete: since == 0}
+	for _, d := range s.history[current] {
 		if d.Revision > since && !(c.Complete && d.Deleted) {
 			c.Documents = append(c.Documents, d)
 		}
@@ -106,13 +108,13 @@
 	return c
 }
 
-// Reads returns how often the service has been read.
+// Reads returns the number of reads so far.
 func (s *Service) Reads() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reads
 }
 
-func (s *Service) countReads(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) handleReads(w http.ResponseWriter, _ *http.Request) {
 	_ = json.NewEncoder(w).Encode(s.Reads())
 }
--- a/standin/internal/engine/answer.go
+++ b/standin/internal/engine/answer.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// usage is what an engine says of a finished answer.
+// usage is the token usage that is reported at the end of an answer.
 type usage struct {
 	PromptTokens     int          `json:"prompt_tokens"`
 	CompletionTokens int          `json:"completion_tokens"`
@@ -20,23 +20,23 @@
 
 func (g *generation) usage() usage {
 	return usage{
-		PromptTokens:     g.prompt,
-		CompletionTokens: g.length - g.request.Resume.Tokens,
-		Details:          usageDetails{CachedTokens: g.cached},
+		PromptTokens:     g.promptTokens,
+		CompletionTokens: g.answerTokens - g.request.Resume.Tokens,
+		Details:          usageDetails{CachedTokens: g.cachedTokens},
 	}
 }
 
-// answer sends the tokens; it reports false when the caller went away or a fault ended it.
-func (e *Engine) answer(w http.ResponseWriter, r *http.Request, g *generation, f Faults) bool {
+// writeAnswer writes the answer and reports whether it was written completely.
+func (e *Engine) writeAnswer(w http.ResponseWriter, r *http.Request, g *generation, f Faults) bool {
 	if g.request.Stream {
-		return e.stream(w, r, g, f)
+		return e.streamAnswer(w, r, g, f)
 	}
-	for i := g.request.Resume.Tokens; i < g.length; i++ {
-		if !e.pause(r, 1/e.cfg.DecodeRate) {
+	for i := g.request.Resume.Tokens; i < g.answerTokens; i++ {
+		if !e.wait(r, 1/e.cfg.DecodeRate) {
 			return false
 		}
-		g.text.WriteString(word(g.seed, i))
-		e.tokens.Add(1)
+		g.text.WriteString(answerToken(g.seed, i))
+		e.generatedTokens.Add(1)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	body := completion{Object: "chat.completion", Choices: []choice{{Message: &message{Role: "assistant", Content: g.text.String()}, FinishReason: "stop"}}}
@@ -45,7 +45,7 @@
 	return json.NewEncoder(w).Encode(body) == nil
 }
 
-// completion is an answer or one event of it.
+// completion is a whole answer or one event of a stream.
 type completion struct {
 	Object  string   `json:"object"`
 	Choices []choice `json:"choices"`
@@ -62,7 +62,7 @@
 	Content string `json:"content,omitempty"`
 }
 
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, g *generation, f Faults) bool {
+func (e *Engine) streamAnswer(w http.ResponseWriter, r *http.Request, g *generation, f Faults) bool {
 	w.Header().Set("Content-Type", "text/event-stream")
 	flush, ok := w.(http.Flusher)
 	if !ok {
@@ -71,36 +71,36 @@
 	w.WriteHeader(http.StatusOK)
 	flush.Flush()
 	next := time.Now()
-	for i := g.request.Resume.Tokens; i < g.length; i++ {
+	for i := g.request.Resume.Tokens; i < g.answerTokens; i++ {
 		if f.Stall && i > 0 {
 			<-r.Context().Done()
 			return false
 		}
 		if f.CutAfter > 0 && i-g.request.Resume.Tokens >= f.CutAfter {
-			// Ending the handler this way cuts the connection without the closing chunk.
+			// This panic makes the server close the connection without the final chunk.
 			panic(http.ErrAbortHandler)
 		}
 		next = next.Add(time.Duration(float64(time.Second) / e.cfg.DecodeRate))
-		if !e.pause(r, time.Until(next).Seconds()) || r.Context().Err() != nil {
+		if !e.wait(r, time.Until(next).Seconds()) || r.Context().Err() != nil {
 			return false
 		}
-		text := word(g.seed, i)
+		text := answerToken(g.seed, i)
 		g.text.WriteString(text)
-		e.tokens.Add(1)
-		if !send(w, completion{Object: "chat.completion.chunk", Choices: []choice{{Delta: &delta{Content: text}}}}) {
+		e.generatedTokens.Add(1)
+		if !writeEvent(w, completion{Object: "chat.completion.chunk", Choices: []choice{{Delta: &delta{Content: text}}}}) {
 			return false
 		}
 		flush.Flush()
 	}
 	u := g.usage()
-	if !send(w, completion{Object: "chat.completion.chunk", Choices: []choice{{Delta: &delta{}, FinishReason: "stop"}}, Usage: &u}) {
+	if !writeEvent(w, completion{Object: "chat.completion.chunk", Choices: []choice{{Delta: &delta{}, FinishReason: "stop"}}, Usage: &u}) {
 		return false
 	}
 	_, err := fmt.Fprint(w, "data: [DONE]\n\n")
 	return err == nil
 }
 
-func send(w http.ResponseWriter, c completion) bool {
+func writeEvent(w http.ResponseWriter, c completion) bool {
 	text, err := json.Marshal(c)
 	if err != nil {
 		return false
--- a/standin/internal/engine/doc.go
+++ b/standin/internal/engine/doc.go
@@ -1,2 +1,2 @@
-// Package engine is a small stand-in for a model engine, for tests and the demo only.
+// Package engine simulates a model engine for tests, benchmarks and the demo.
 package engine
--- a/standin/internal/engine/prefix.go
+++ b/standin/internal/engine/prefix.go
@@ -5,19 +5,21 @@
 	"net/http"
 )
 
-// Prefix is the exported prefix of one chat; its blocks stand for the KV cache.
+// Prefix is the exported cached prefix of one chat. It contains keys and token counts in place of a KV cache.
 type Prefix struct {
-	Keys   []uint64 `json:"keys"`
-	Tokens []int    `json:"tokens"`
+	// Keys are the hashes of the prefixes after each message.
+	Keys []uint64 `json:"keys"`
+	// Tokens are the tokens of the last message of each prefix.
+	Tokens []int `json:"tokens"`
 }
 
-// Imported is the answer to an import.
-type Imported struct {
+// ImportResult is the response to an import.
+type ImportResult struct {
 	Tokens int `json:"tokens"`
 }
 
-// export gives out the cached prefix of a chat.
-func (e *Engine) export(w http.ResponseWriter, r *http.Request) {
+// exportPrefix handles GET /kv/export: it returns the cached prefix of a chat.
+func (e *Engine) exportPrefix(w http.ResponseWriter, r *http.Request) {
 	var p Prefix
 	e.mu.Lock()
 	keys, _ := e.chats.Get(r.URL.Query().Get("chat"))
@@ -31,22 +33,22 @@
 	_ = json.NewEncoder(w).Encode(p)
 }
 
-// importPrefix takes an exported prefix in.
+// importPrefix handles POST /kv/import: it adds an exported prefix to the cache.
 func (e *Engine) importPrefix(w http.ResponseWriter, r *http.Request) {
 	var p Prefix
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&p)
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&p)
 	if err != nil || len(p.Keys) != len(p.Tokens) {
 		http.Error(w, "malformed body", http.StatusBadRequest)
 		return
 	}
-	var answer Imported
+	var result ImportResult
 	e.mu.Lock()
 	for i, key := range p.Keys {
-		e.keep(key, p.Tokens[i])
-		answer.Tokens += p.Tokens[i]
+		e.cachePrefix(key, p.Tokens[i])
+		result.Tokens += p.Tokens[i]
 	}
 	e.chats.Add(r.URL.Query().Get("chat"), p.Keys)
 	e.mu.Unlock()
-	e.imported.Add(int64(answer.Tokens))
-	_ = json.NewEncoder(w).Encode(answer)
+	e.importedTokens.Add(int64(result.Tokens))
+	_ = json.NewEncoder(w).Encode(result)
 }
--- a/standin/internal/faults/doc.go
+++ b/standin/internal/faults/doc.go
@@ -1,2 +1,2 @@
-// Package faults lets a test switch the faults of a stand-in by a call.
+// Package faults lets a test set the simulated faults of a stand-in over HTTP.
 package faults
--- a/standin/internal/faults/switch.go
+++ b/standin/internal/faults/switch.go
@@ -6,20 +6,20 @@
 	"sync"
 )
 
-// Switch holds the faults of one stand-in; its zero value has none.
+// Switch holds the active faults of a stand-in, initially the zero value of F.
 type Switch[F any] struct {
-	mu      sync.Mutex
-	present F
+	mu     sync.Mutex
+	active F
 }
 
-// Get returns the faults that are switched on.
+// Get returns the active faults.
 func (s *Switch[F]) Get() F {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.present
+	return s.active
 }
 
-// ServeHTTP replaces the faults by those of a JSON body.
+// ServeHTTP replaces the active faults with those of a JSON body.
 func (s *Switch[F]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var f F
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
@@ -28,5 +28,5 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.present = f
+	s.active = f
 }
--- a/standin/internal/plain/doc.go
+++ b/standin/internal/plain/doc.go
@@ -1,2 +1,2 @@
-// Package plain is a small stand-in for a plain service with calls that may not be repeated.
+// Package plain simulates a plain HTTP service that records every run of a call, for tests and the demo.
 package plain
--- a/standin/internal/plain/service.go
+++ b/standin/internal/plain/service.go
@@ -10,32 +10,34 @@
 	"rattantrack.dev/standin/internal/faults"
 )
 
-const maxBody = 1 << 20
+const maxBodyBytes = 1 << 20
 
-// Faults are switched on by a test's call to /faults.
+// Faults are the faults that POST /faults sets.
 type Faults struct {
-	// DelayMS is how long a call takes.
+	// DelayMS is the duration of each call in milliseconds.
 	DelayMS int `json:"delay_ms"`
-	// CutAfterRun runs each call and then cuts the connection without an answer.
+	// CutAfterRun runs each call and then closes the connection without a response.
 	CutAfterRun bool `json:"cut_after_run"`
 }
 
-// Run is one call that was run.
+// Run is one recorded call.
 type Run struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	Body   string `json:"body"`
 }
 
-// Answer is the body of an answer.
-type Answer struct {
+// Response is the body of a response.
+type Response struct {
 	Upstream string `json:"upstream"`
-	Run      int    `json:"run"`
-	Echo     string `json:"echo"`
+	// Run is the number of calls run so far, including this one.
+	Run  int    `json:"run"`
+	Echo string `json:"echo"`
 }
 
-// Service counts every call that it runs.
+// Service records every call that it runs.
 type Service struct {
+	// Name is the name of the upstream in responses.
 	Name string
 
 	faults faults.Switch[Faults]
@@ -47,37 +49,37 @@
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST /faults", &s.faults)
-	mux.HandleFunc("GET /runs", s.list)
-	mux.HandleFunc("/", s.run)
+	mux.HandleFunc("GET /runs", s.listRuns)
+	mux.HandleFunc("/", s.runCall)
 	return mux
 }
 
-// Runs returns the calls run so far.
+// Runs returns the calls that have been run.
 func (s *Service) Runs() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Run{}, s.runs...)
 }
 
-func (s *Service) list(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) listRuns(w http.ResponseWriter, _ *http.Request) {
 	_ = json.NewEncoder(w).Encode(s.Runs())
 }
 
-func (s *Service) run(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+func (s *Service) runCall(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		return
 	}
 	s.mu.Lock()
 	s.runs = append(s.runs, Run{Method: r.Method, Path: r.URL.Path, Body: string(body)})
-	answer := Answer{Upstream: s.Name, Run: len(s.runs), Echo: string(body)}
+	response := Response{Upstream: s.Name, Run: len(s.runs), Echo: string(body)}
 	s.mu.Unlock()
-	present := s.faults.Get()
-	// What was begun is done, whether or not anybody waits for it.
-	time.Sleep(time.Duration(present.DelayMS) * time.Millisecond)
-	if present.CutAfterRun {
+	active := s.faults.Get()
+	// A recorded call runs to its end, also if the client has gone away.
+	time.Sleep(time.Duration(active.DelayMS) * time.Millisecond)
+	if active.CutAfterRun {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(answer)
+	_ = json.NewEncoder(w).Encode(response)
 }
--- a/standin/internal/vmlist/doc.go
+++ b/standin/internal/vmlist/doc.go
@@ -1,2 +1,2 @@
-// Package vmlist is a small stand-in for the platform's lagging list of VMs.
+// Package vmlist simulates the platform's VM list, which shows changes with a delay, for tests and the demo.
 package vmlist
--- a/standin/internal/vmlist/service.go
+++ b/standin/internal/vmlist/service.go
@@ -9,18 +9,19 @@
 	"rattantrack.dev/core/configuration"
 )
 
-// Service shows the list as it was some time ago.
+// Service serves a VM list that shows changes with a delay.
 type Service struct {
+	// Lag is the delay.
 	Lag time.Duration
 
-	mu   sync.Mutex
-	past []version
+	mu       sync.Mutex
+	versions []version
 }
 
-// version is a list and when it was set.
+// version is a list with the time at which it was set.
 type version struct {
-	at  time.Time
-	vms []configuration.VM
+	setAt time.Time
+	vms   []configuration.VM
 }
 
 // Handler returns the service's HTTP interface.
@@ -35,17 +36,17 @@
 func (s *Service) Set(vms []configuration.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.past = append(s.past, version{at: time.Now(), vms: vms})
+	s.versions = append(s.versions, version{setAt: time.Now(), vms: vms})
 }
 
-// List returns the list as it is shown now.
+// List returns the latest list that was set at least Lag ago, or else the first one.
 func (s *Service) List() []configuration.VM {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	shown := time.Now().Add(-s.Lag)
-	for i := len(s.past) - 1; i >= 0; i-- {
-		if i == 0 || !s.past[i].at.After(shown) {
-			return s.past[i].vms
+	cutoff := time.Now().Add(-s.Lag)
+	for i := len(s.versions) - 1; i >= 0; i-- {
+		if i == 0 || !s.versions[i].setAt.After(cutoff) {
+			return s.versions[i].vms
 		}
 	}
 	return nil
@@ -56,10 +57,10 @@
 }
 
 func (s *Service) set(w http.ResponseWriter, r *http.Request) {
-	var answer configuration.VMs
-	if err := json.NewDecoder(r.Body).Decode(&answer); err != nil {
+	var list configuration.VMs
+	if err := json.NewDecoder(r.Body).Decode(&list); err != nil {
 		http.Error(w, "malformed body", http.StatusBadRequest)
 		return
 	}
-	s.Set(answer.VMs)
+	s.Set(list.VMs)
 }
