--- a/standin/internal/bench/capacity.go
+++ b/standin/internal/bench/capacity.go
@@ -23,83 +23,85 @@
 	"rattantrack.dev/standin/internal/fleet"
 )
 
-// Sizes at which slopes are measured.
+// Fleet and table sizes at which the capacity figures are measured, to show their growth.
 var (
-	sideCounts   = []int{100, 400, 1200}
-	spreadCounts = []int{50, 100, 200, 400}
-	tableCounts  = []int{2400, 9600, 38400}
+	sideCounts       = []int{100, 400, 1200}
+	gossipNodeCounts = []int{50, 100, 200, 400}
+	tableEntryCounts = []int{2400, 9600, 38400}
 )
 
-// Times of the capacity measurements.
+// Parameters of the capacity measurements.
 const (
-	observeTime   = 5 * time.Second
-	changesASec   = 4
-	openRate      = 500
-	spreadChanges = 5
-	spreadLimit   = 20 * time.Second
+	observeDuration  = 5 * time.Second
+	changesPerSecond = 4
+	callsPerSecond   = 500
+	gossipChanges    = 5
+	gossipTimeout    = 20 * time.Second
 )
 
-// Capacity measures how state, traffic and processor time grow with the size of the fleet.
+// Capacity measures how memory, traffic and CPU time grow with the size of the fleet.
 func Capacity(ctx context.Context, bin, dir string, w *Writer) error {
 	for _, n := range sideCounts {
-		if err := processesBeside(ctx, bin, dir, n, w); err != nil {
+		if err := measureProcesses(ctx, bin, dir, n, w); err != nil {
 			return err
 		}
 	}
-	for _, n := range spreadCounts {
-		if err := spreadOver(ctx, n, w); err != nil {
+	for _, n := range gossipNodeCounts {
+		if err := measureGossip(ctx, n, w); err != nil {
 			return err
 		}
 	}
-	return tables(w)
+	return measureTables(w)
 }
 
-// processesBeside measures one router and one side in a service of n sides.
-func processesBeside(ctx context.Context, bin, dir string, n int, w *Writer) error {
-	all, err := startStubs(n)
+// measureProcesses measures a router and a side in a service with n further sides: idle, with links to nearly all sides, and
+// while declarations change.
+func measureProcesses(ctx context.Context, bin, dir string, n int, w *Writer) error {
+	stubs, err := startStubs(n)
 	if err != nil {
 		return err
 	}
-	defer all.stop()
+	defer stubs.stop()
 	f, err := fleet.Start(ctx, fleet.Options{
-		Bin: bin, Dir: dir, Routers: 1, Engines: 1, DrainTime: 2 * time.Second, NoticeTime: 100 * time.Millisecond,
-		Declare: func(d *settings.Declarations) { all.declare(d, fleet.ModelService) },
+		BinDir: bin, SettingsDir: dir, Routers: 1, Engines: 1, DrainTime: 2 * time.Second, NoticeTime: 100 * time.Millisecond,
+		EditDeclarations: func(d *settings.Declarations) { stubs.addTo(d, fleet.ModelService) },
 	})
 	if err != nil {
 		return err
 	}
 	defer func() { _ = f.Stop() }()
-	time.Sleep(settleTime)
-	observed := map[string]observed{
+	time.Sleep(settleDelay)
+	processes := map[string]process{
 		"router": {pid: f.Routers[0].PID(), operator: f.Routers[0].Operator},
 		"side":   {pid: f.Engines[0].Side.PID(), operator: f.Engines[0].Operator},
 	}
-	if err := observeAll(ctx, observed, fmt.Sprintf("declared_%d", n), w); err != nil {
+	if err := observeAll(ctx, processes, fmt.Sprintf("declared_%d", n), w); err != nil {
 		return err
 	}
 	if err := openLinks(ctx, f, n); err != nil {
 		return err
 	}
-	if err := observeAll(ctx, observed, fmt.Sprintf("links_%d", n), w); err != nil {
+	if err := observeAll(ctx, processes, fmt.Sprintf("links_%d", n), w); err != nil {
 		return err
 	}
 	stop := publishChanges(ctx, f)
 	defer stop()
-	return observeAll(ctx, observed, fmt.Sprintf("changes_%d", n), w)
+	return observeAll(ctx, processes, fmt.Sprintf("changes_%d", n), w)
 }
 
-// observed is a process to look at.
-type observed struct {
+// process is a process to measure.
+type process struct {
 	pid      int
 	operator string
 }
 
-// observeAll writes what each process uses and sends in a while.
-func observeAll(ctx context.Context, list map[string]observed, what string, w *Writer) error {
+// observeAll writes the memory, CPU time, traffic and links of each process, measured over observeDuration. The names of the
+// figures end in suffix.
+func observeAll(ctx context.Context, processes map[string]process, suffix string, w *Writer) error {
 	before := make(map[string]Usage)
 	sent := make(map[string]float64)
-	for name, o := range list {
-		u, err := usage(o.pid)
+	for name, o := range processes {
+		u, err := readUsage(o.pid)
 		if err != nil {
 			return err
 		}
@@ -108,9 +110,9 @@
 			return err
 		}
 	}
-	time.Sleep(observeTime)
-	for name, o := range list {
-		u, err := usage(o.pid)
+	time.Sleep(observeDuration)
+	for name, o := range processes {
+		u, err := readUsage(o.pid)
 		if err != nil {
 			return err
 		}
@@ -118,16 +120,16 @@
 		if err != nil {
 			return err
 		}
-		var links []link
-		if err := part(ctx, o.operator, "links", &links); err != nil {
+		var links []linkState
+		if err := readSection(ctx, o.operator, "links", &links); err != nil {
 			return err
 		}
-		seconds := observeTime.Seconds()
+		seconds := observeDuration.Seconds()
 		lines := []Line{
-			{Name: name + "_resident_" + what, Value: float64(u.Resident), Unit: "bytes"},
-			{Name: name + "_cores_" + what, Value: (u.CPU - before[name].CPU).Seconds() / seconds, Unit: "cores"},
-			{Name: name + "_sent_" + what, Value: (now - sent[name]) / seconds, Unit: "bytes/s"},
-			{Name: name + "_links_" + what, Value: float64(len(links)), Unit: "links"},
+			{Name: name + "_resident_" + suffix, Value: float64(u.Resident), Unit: "bytes"},
+			{Name: name + "_cores_" + suffix, Value: (u.CPU - before[name].CPU).Seconds() / seconds, Unit: "cores"},
+			{Name: name + "_sent_" + suffix, Value: (now - sent[name]) / seconds, Unit: "bytes/s"},
+			{Name: name + "_links_" + suffix, Value: float64(len(links)), Unit: "links"},
 		}
 		for _, l := range lines {
 			if err := w.Write(l); err != nil {
@@ -138,7 +140,8 @@
 	return nil
 }
 
-// openLinks sends calls for different chats until the router holds a link to nearly every side.
+// openLinks sends chats with different prompts until the router has opened links to nearly all of n sides. Uniform random
+// placement needs about n*(ln n + 1) chats to reach every side.
 func openLinks(ctx context.Context, f *fleet.Fleet, n int) error {
 	c := fleet.NewClient(f.Routers[0].URL)
 	defer c.Close()
@@ -148,7 +151,7 @@
 	var failed error
 	start := time.Now()
 	for i := range total {
-		time.Sleep(time.Until(start.Add(time.Duration(i) * time.Second / openRate)))
+		time.Sleep(time.Until(start.Add(time.Duration(i) * time.Second / callsPerSecond)))
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -162,13 +165,13 @@
 	return failed
 }
 
-// publishChanges publishes small changes at a steady rate until stopped.
+// publishChanges publishes small changes of the declarations at a constant rate until stop is called.
 func publishChanges(ctx context.Context, f *fleet.Fleet) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		t := time.NewTicker(time.Second / changesASec)
+		t := time.NewTicker(time.Second / changesPerSecond)
 		defer t.Stop()
 		for share := 1; ; share++ {
 			select {
@@ -185,130 +188,130 @@
 	}
 }
 
-// node is one process's part in spreading declarations, inside this process.
-type node struct {
+// gossipNode is one simulated participant in the gossip of declarations. All nodes run in this process.
+type gossipNode struct {
 	store    *revision.Store
 	endpoint *peer.Endpoint
 	service  *gossip.Service
 }
 
-// Serve gives messages to the spread service.
-func (n *node) Serve(ctx context.Context, st *peer.Stream, m peer.Message) {
+// Serve passes messages to the gossip service.
+func (n *gossipNode) Serve(ctx context.Context, st *peer.Stream, m peer.Message) {
 	n.service.Serve(ctx, st, m)
 }
 
-// spreadOver measures how long a change takes to every one of n nodes, and what that costs.
-func spreadOver(ctx context.Context, n int, w *Writer) error {
+// measureGossip measures how long a change takes to reach all of n nodes and how many bytes each node sends for it.
+func measureGossip(ctx context.Context, n int, w *Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	nodes, addresses, err := listenNodes(ctx, n, &wg)
 	defer func() {
 		cancel()
-		for _, one := range nodes {
-			one.endpoint.Close()
+		for _, node := range nodes {
+			node.endpoint.Close()
 		}
 	}()
 	if err != nil {
 		return err
 	}
-	runNodes(ctx, nodes, addresses, &wg)
-	if _, err := waitAll(nodes, 1); err != nil {
+	startNodes(ctx, nodes, addresses, &wg)
+	if _, err := waitForRevision(nodes, 1); err != nil {
 		return err
 	}
 	time.Sleep(3 * time.Second)
 	var slowest time.Duration
-	before := sentBy(nodes)
-	for i := range spreadChanges {
+	before := totalBytesSent(nodes)
+	for i := range gossipChanges {
 		r := settings.Revision(i + 2)
-		nodes[i].service.Offer(change(r))
-		took, err := waitAll(nodes, r)
+		nodes[i].service.Offer(teamDelta(r))
+		took, err := waitForRevision(nodes, r)
 		if err != nil {
 			return err
 		}
 		slowest = max(slowest, took)
 	}
-	each := (sentBy(nodes) - before) / float64(n) / spreadChanges
+	perNode := (totalBytesSent(nodes) - before) / float64(n) / gossipChanges
 	if err := w.Write(Line{Name: fmt.Sprintf("spread_slowest_%d", n), Value: slowest.Seconds() * 1000, Unit: "ms", Target: 3000}); err != nil {
 		return err
 	}
-	return w.Write(Line{Name: fmt.Sprintf("spread_sent_%d", n), Value: each, Unit: "bytes/node/change"})
+	return w.Write(Line{Name: fmt.Sprintf("spread_sent_%d", n), Value: perNode, Unit: "bytes/node/change"})
 }
 
-func change(r settings.Revision) revision.Delta {
+func teamDelta(r settings.Revision) revision.Delta {
 	return revision.Delta{From: r - 1, To: revision.Version{Revision: r}, Documents: []settings.Document{
 		{Key: "teams/heads", Value: fmt.Sprintf("share: %d", r), Revision: r},
 	}}
 }
 
-func listenNodes(ctx context.Context, n int, wg *sync.WaitGroup) ([]*node, []string, error) {
+func listenNodes(ctx context.Context, n int, wg *sync.WaitGroup) ([]*gossipNode, []string, error) {
 	allow, err := peer.ParseNetworks(settings.DefaultAllow)
 	if err != nil {
 		return nil, nil, err
 	}
-	var nodes []*node
+	var nodes []*gossipNode
 	var addresses []string
 	for i := range n {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nodes, nil, errors.Wrap(err, "listening for a node")
 		}
-		one := &node{store: &revision.Store{}}
-		one.endpoint = &peer.Endpoint{Handler: one, Allow: allow, Local: func() peer.Hello {
+		node := &gossipNode{store: &revision.Store{}}
+		node.endpoint = &peer.Endpoint{Handler: node, Allow: allow, Local: func() peer.Hello {
 			return peer.Hello{Protocol: peer.ProtocolVersion, Role: peer.RoleSide, ID: fmt.Sprint(i), Sent: clock.Boot{}.Now()}
 		}}
-		nodes = append(nodes, one)
+		nodes = append(nodes, node)
 		addresses = append(addresses, ln.Addr().String())
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			_ = one.endpoint.Listen(ctx, ln)
+			_ = node.endpoint.Listen(ctx, ln)
 		}()
 	}
 	return nodes, addresses, nil
 }
 
-func runNodes(ctx context.Context, nodes []*node, addresses []string, wg *sync.WaitGroup) {
-	for i, one := range nodes {
+func startNodes(ctx context.Context, nodes []*gossipNode, addresses []string, wg *sync.WaitGroup) {
+	for i, node := range nodes {
 		others := append(append([]string{}, addresses[:i]...), addresses[i+1:]...)
-		one.service = &gossip.Service{
-			Store:      one.store,
-			Dialer:     one.endpoint,
+		node.service = &gossip.Service{
+			Store:      node.store,
+			Dialer:     node.endpoint,
 			Log:        log.New(io.Discard),
 			Candidates: func() []string { return others },
 		}
 	}
 	_, _ = nodes[0].store.Offer(revision.Delta{To: revision.Version{Revision: 1}})
-	for _, one := range nodes {
+	for _, node := range nodes {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			_ = one.service.Run(ctx, func() {})
+			_ = node.service.Run(ctx, func() {})
 		}()
 	}
 }
 
-// waitAll waits until a revision is in force at every node.
-func waitAll(nodes []*node, r settings.Revision) (time.Duration, error) {
-	begun := time.Now()
-	for _, one := range nodes {
+// waitForRevision waits until a revision is in force at every node and returns the time it took.
+func waitForRevision(nodes []*gossipNode, r settings.Revision) (time.Duration, error) {
+	startedAt := time.Now()
+	for _, node := range nodes {
 		for {
-			if v, _ := one.store.Current(); v.Revision >= r {
+			if v, _ := node.store.Current(); v.Revision >= r {
 				break
 			}
-			if time.Since(begun) > spreadLimit {
-				return 0, errors.Newf("revision %d is not everywhere after %s", r, spreadLimit)
+			if time.Since(startedAt) > gossipTimeout {
+				return 0, errors.Newf("revision %d is not in force at every node after %s", r, gossipTimeout)
 			}
 			time.Sleep(time.Millisecond)
 		}
 	}
-	return time.Since(begun), nil
+	return time.Since(startedAt), nil
 }
 
-func sentBy(nodes []*node) float64 {
+func totalBytesSent(nodes []*gossipNode) float64 {
 	sum := 0.0
-	for _, one := range nodes {
-		for _, l := range one.endpoint.Links() {
+	for _, node := range nodes {
+		for _, l := range node.endpoint.Links() {
 			out, _ := l.Bytes()
 			sum += float64(out)
 		}
@@ -316,22 +319,22 @@
 	return sum
 }
 
-// tables measures the memory of a side's directory and keys.
-func tables(w *Writer) error {
-	for _, n := range tableCounts {
-		d := &cacheowner.Table{MaxEntries: n}
-		used := heapOf(func() {
+// measureTables measures the memory of a side's tables of cache owners and idempotency keys.
+func measureTables(w *Writer) error {
+	for _, n := range tableEntryCounts {
+		table := &cacheowner.Table{MaxEntries: n}
+		used := heapGrowth(func() {
 			for i := range n {
-				d.RecordServed(uint64(i)*0x9e3779b97f4a7c15, settings.UpstreamID(fmt.Sprintf("letterhouse-%04d", i%1015)))
+				table.RecordServed(uint64(i)*0x9e3779b97f4a7c15, settings.UpstreamID(fmt.Sprintf("letterhouse-%04d", i%1015)))
 			}
 		})
-		runtime.KeepAlive(d)
+		runtime.KeepAlive(table)
 		if err := w.Write(Line{Name: fmt.Sprintf("directory_memory_%d", n), Value: used, Unit: "bytes"}); err != nil {
 			return err
 		}
-		k := &outcome.Keys{}
-		used = heapOf(func() { fillKeys(k, n) })
-		runtime.KeepAlive(k)
+		keys := &outcome.Keys{}
+		used = heapGrowth(func() { fillKeys(keys, n) })
+		runtime.KeepAlive(keys)
 		if err := w.Write(Line{Name: fmt.Sprintf("keys_memory_%d", n), Value: used, Unit: "bytes"}); err != nil {
 			return err
 		}
@@ -350,7 +353,8 @@
 	}
 }
 
-func heapOf(fill func()) float64 {
+// heapGrowth returns the bytes by which the live heap grows in fill.
+func heapGrowth(fill func()) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
--- a/standin/internal/bench/doc.go
+++ b/standin/internal/bench/doc.go
@@ -1,2 +1,2 @@
-// Package bench measures running processes: the cost of the path, and the decisions under load.
+// Package bench measures running processes: the cost of routing a request, placement under load and capacity.
 package bench
--- a/standin/internal/bench/line.go
+++ b/standin/internal/bench/line.go
@@ -10,20 +10,23 @@
 
 // Line is one measured figure.
 type Line struct {
-	Name     string  `json:"name"`
-	Value    float64 `json:"value"`
-	Unit     string  `json:"unit"`
+	Name  string  `json:"name"`
+	Value float64 `json:"value"`
+	Unit  string  `json:"unit"`
+	// Baseline is the same figure for direct calls or the relay, 0 if it is not measured.
 	Baseline float64 `json:"baseline"`
-	Target   float64 `json:"target,omitempty"`
+	// Target is the value that the figure should not exceed, or that fleet_held should reach.
+	Target float64 `json:"target,omitempty"`
 }
 
-// Writer writes lines as JSON, and notes for people beside them.
+// Writer writes figures as JSON lines.
 type Writer struct {
-	Out   io.Writer
+	Out io.Writer
+	// Notes receives the descriptions of failed requests.
 	Notes io.Writer
 }
 
-// Write writes one line.
+// Write writes one figure.
 func (w *Writer) Write(l Line) error {
 	text, err := json.Marshal(l)
 	if err != nil {
@@ -33,11 +36,11 @@
 	return err
 }
 
-// quantile returns the q-th part of sorted durations in milliseconds.
-func quantile(list []time.Duration, q float64) float64 {
-	if len(list) == 0 {
+// quantile sorts durations and returns their q-quantile in milliseconds, 0 if there are none.
+func quantile(durations []time.Duration, q float64) float64 {
+	if len(durations) == 0 {
 		return 0
 	}
-	slices.Sort(list)
-	return float64(list[int(q*float64(len(list)-1))]) / float64(time.Millisecond)
+	slices.Sort(durations)
+	return float64(durations[int(q*float64(len(durations)-1))]) / float64(time.Millisecond)
 }
--- a/standin/internal/bench/path.go
+++ b/standin/internal/bench/path.go
@@ -11,58 +11,59 @@
 	"rattantrack.dev/standin/internal/fleet"
 )
 
-// Shape of the path measurement.
+// Parameters of the path and stream measurements.
 const (
-	pathRate     = 1000 // requests a second
-	pathTime     = 6 * time.Second
-	pathTokens   = 8
-	streamCount  = 200
-	streamTokens = 600
-	streamRate   = 50.0
-	settleTime   = time.Second
+	pathRequestsPerSecond = 1000
+	pathDuration          = 6 * time.Second
+	pathAnswerTokens      = 8
+	streamCount           = 200
+	streamTokens          = 600
+	streamDecodeRate      = 50.0
+	settleDelay           = time.Second
 )
 
-// Targets of the path.
+// Targets of the path and stream measurements.
 const (
-	targetMedian   = 1.0   // ms over the direct call
-	targetP99      = 3.0   // ms over the direct call
-	targetCores    = 0.1   // of a core at 10,000 tokens a second
-	targetStream   = 65536 // bytes an open stream
-	targetResident = 32 << 20
+	targetMedianMS      = 1.0   // over the direct call
+	targetP99MS         = 3.0   // over the direct call
+	targetCores         = 0.1   // at 10,000 tokens a second
+	targetStreamBytes   = 65536 // for each open stream
+	targetResidentBytes = 32 << 20
 )
 
-// Path measures what the path adds over calling the engine directly, and what a router spends.
+// Path measures the latency that a router and a side add to a direct call of the engine, the router's CPU time under this
+// load, and the resident memory of the idle programs.
 func Path(ctx context.Context, bin, dir string, w *Writer) error {
 	f, err := fleet.Start(ctx, fleet.Options{
-		Bin: bin, Dir: dir, Routers: 1, Engines: 2, Plains: 1, DecodeRate: 100_000,
+		BinDir: bin, SettingsDir: dir, Routers: 1, Engines: 2, PlainServices: 1, DecodeRate: 100_000,
 		DrainTime: 5 * time.Second, NoticeTime: 100 * time.Millisecond,
 	})
 	if err != nil {
 		return err
 	}
 	defer func() { _ = f.Stop() }()
-	if err := idle(f, w); err != nil {
+	if err := measureIdleMemory(f, w); err != nil {
 		return err
 	}
-	if err := overhead(ctx, f, w); err != nil {
+	if err := measureOverhead(ctx, f, w); err != nil {
 		return err
 	}
 	return nil
 }
 
-// idle writes the memory of each program before any load.
-func idle(f *fleet.Fleet, w *Writer) error {
-	time.Sleep(settleTime)
+// measureIdleMemory writes the resident memory of each program before any load.
+func measureIdleMemory(f *fleet.Fleet, w *Writer) error {
+	time.Sleep(settleDelay)
 	programs := []struct {
 		name string
 		pid  int
-	}{{"router", f.Routers[0].PID()}, {"side", f.Engines[0].Side.PID()}, {"standin", f.Engines[0].Upstream.PID()}}
+	}{{"router", f.Routers[0].PID()}, {"side", f.Engines[0].Side.PID()}, {"standin", f.Engines[0].Process.PID()}}
 	for _, p := range programs {
-		u, err := usage(p.pid)
+		u, err := readUsage(p.pid)
 		if err != nil {
 			return err
 		}
-		l := Line{Name: "idle_resident_" + p.name, Value: float64(u.Resident), Unit: "bytes", Target: targetResident}
+		l := Line{Name: "idle_resident_" + p.name, Value: float64(u.Resident), Unit: "bytes", Target: targetResidentBytes}
 		if err := w.Write(l); err != nil {
 			return err
 		}
@@ -70,28 +71,31 @@
 	return nil
 }
 
-// overhead compares times to the first token through the path and directly, in turns on the same arrivals.
-func overhead(ctx context.Context, f *fleet.Fleet, w *Writer) error {
-	direct, err := firstTokens(ctx, f.Engines[0].URL, "letterhouse-8b")
+// measureOverhead measures the time to the first token, first in direct calls of an engine and then in calls of a router
+// at the same rate.
+func measureOverhead(ctx context.Context, f *fleet.Fleet, w *Writer) error {
+	direct, err := measureFirstTokens(ctx, f.Engines[0].URL, "letterhouse-8b")
 	if err != nil {
 		return err
 	}
-	before, err := usage(f.Routers[0].PID())
+	before, err := readUsage(f.Routers[0].PID())
 	if err != nil {
 		return err
 	}
-	path, err := firstTokens(ctx, f.Routers[0].URL, "answer")
+	routed, err := measureFirstTokens(ctx, f.Routers[0].URL, "answer")
 	if err != nil {
 		return err
 	}
-	after, err := usage(f.Routers[0].PID())
+	after, err := readUsage(f.Routers[0].PID())
 	if err != nil {
 		return err
 	}
-	seconds := pathTime.Seconds()
+	seconds := pathDuration.Seconds()
 	lines := []Line{
-		{Name: "first_token_p50", Value: quantile(path, 0.5), Unit: "ms", Baseline: quantile(direct, 0.5), Target: quantile(direct, 0.5) + targetMedian},
-		{Name: "first_token_p99", Value: quantile(path, 0.99), Unit: "ms", Baseline: quantile(direct, 0.99), Target: quantile(direct, 0.99) + targetP99},
+		{Name: "first_token_p50", Value: quantile(routed, 0.5), Unit: "ms", Baseline: quantile(direct, 0.5),
+			Target: quantile(direct, 0.5) + targetMedianMS},
+		{Name: "first_token_p99", Value: quantile(routed, 0.99), Unit: "ms", Baseline: quantile(direct, 0.99),
+			Target: quantile(direct, 0.99) + targetP99MS},
 		{Name: "router_cores_at_1000_requests", Value: (after.CPU - before.CPU).Seconds() / seconds, Unit: "cores"},
 	}
 	for _, l := range lines {
@@ -102,40 +106,40 @@
 	return nil
 }
 
-// firstTokens sends requests at a steady rate and returns the times to the first token.
-func firstTokens(ctx context.Context, url, model string) ([]time.Duration, error) {
+// measureFirstTokens sends requests at a constant rate and returns their times to the first token.
+func measureFirstTokens(ctx context.Context, url, model string) ([]time.Duration, error) {
 	c := fleet.NewClient(url)
 	defer c.Close()
 	var mu sync.Mutex
 	var list []time.Duration
 	var failed error
 	var wg sync.WaitGroup
-	total := int(pathRate * pathTime.Seconds())
+	total := int(pathRequestsPerSecond * pathDuration.Seconds())
 	start := time.Now()
 	for i := range total {
-		time.Sleep(time.Until(start.Add(time.Duration(i) * time.Second / pathRate)))
+		time.Sleep(time.Until(start.Add(time.Duration(i) * time.Second / pathRequestsPerSecond)))
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			a, err := c.Chat(ctx, fleet.ChatRequest{Model: model, Stream: true, MaxTokens: pathTokens,
+			res, err := c.Chat(ctx, fleet.ChatRequest{Model: model, Stream: true, MaxTokens: pathAnswerTokens,
 				Messages: []fleet.Message{{Role: "user", Content: fmt.Sprintf("question %d", i%500)}}})
 			mu.Lock()
 			defer mu.Unlock()
-			if err == nil && !a.Whole {
-				err = errors.Newf("answer not whole: %+v", a)
+			if err == nil && !res.Complete {
+				err = errors.Newf("incomplete answer: %+v", res)
 			}
 			failed = errors.CombineErrors(failed, err)
-			list = append(list, a.FirstToken)
+			list = append(list, res.TimeToFirstToken)
 		}()
 	}
 	wg.Wait()
 	return list, failed
 }
 
-// Streams measures what open streams cost a router.
+// Streams measures the CPU time and memory that open streams cost a router and, as the baseline, a relay.
 func Streams(ctx context.Context, bin, dir string, w *Writer) error {
 	f, err := fleet.Start(ctx, fleet.Options{
-		Bin: bin, Dir: dir, Routers: 1, Engines: 8, DecodeRate: streamRate,
+		BinDir: bin, SettingsDir: dir, Routers: 1, Engines: 8, DecodeRate: streamDecodeRate,
 		DrainTime: 20 * time.Second, NoticeTime: 100 * time.Millisecond,
 	})
 	if err != nil {
@@ -146,54 +150,57 @@
 	if err != nil {
 		return err
 	}
-	naive, err := streamCost(ctx, relay.PID(), relayURL, "letterhouse-8b")
+	relayCost, err := measureStreams(ctx, relay.PID(), relayURL, "letterhouse-8b")
 	if err != nil {
 		return err
 	}
-	ours, err := streamCost(ctx, f.Routers[0].PID(), f.Routers[0].URL, "draft")
+	routerCost, err := measureStreams(ctx, f.Routers[0].PID(), f.Routers[0].URL, "draft")
 	if err != nil {
 		return err
 	}
-	cores := Line{Name: "router_cores_at_10000_tokens", Value: ours.cores, Unit: "cores", Baseline: naive.cores, Target: targetCores}
+	cores := Line{Name: "router_cores_at_10000_tokens", Value: routerCost.cores, Unit: "cores", Baseline: relayCost.cores, Target: targetCores}
 	if err := w.Write(cores); err != nil {
 		return err
 	}
-	return w.Write(Line{Name: "router_memory_open_stream", Value: ours.bytes, Unit: "bytes", Baseline: naive.bytes, Target: targetStream})
+	return w.Write(Line{Name: "router_memory_open_stream", Value: routerCost.bytes, Unit: "bytes", Baseline: relayCost.bytes, Target: targetStreamBytes})
 }
 
-// cost is what open streams cost a process.
-type cost struct {
+// streamCost is the cost of open streams to a process.
+type streamCost struct {
+	// cores is the CPU time a second for all streams.
 	cores float64
+	// bytes is the resident memory for each stream.
 	bytes float64
 }
 
-// streamCost measures a process while long streams that together carry 10,000 tokens a second pass through it.
-func streamCost(ctx context.Context, pid int, url, model string) (cost, error) {
-	time.Sleep(settleTime)
-	quiet, err := usage(pid)
+// measureStreams measures a process while streams with 10,000 tokens a second in total pass through it.
+func measureStreams(ctx context.Context, pid int, url, model string) (streamCost, error) {
+	time.Sleep(settleDelay)
+	idle, err := readUsage(pid)
 	if err != nil {
-		return cost{}, err
+		return streamCost{}, err
 	}
 	done := openStreams(ctx, url, model)
 	time.Sleep(3 * time.Second)
-	before, err := usage(pid)
+	before, err := readUsage(pid)
 	if err != nil {
-		return cost{}, err
+		return streamCost{}, err
 	}
 	const window = 5 * time.Second
 	time.Sleep(window)
-	after, err := usage(pid)
+	after, err := readUsage(pid)
 	if err != nil {
-		return cost{}, err
+		return streamCost{}, err
 	}
-	c := cost{
+	c := streamCost{
 		cores: (after.CPU - before.CPU).Seconds() / window.Seconds(),
-		bytes: float64(after.Resident-quiet.Resident) / streamCount,
+		bytes: float64(after.Resident-idle.Resident) / streamCount,
 	}
 	return c, <-done
 }
 
-// openStreams opens long streams that together carry 10,000 tokens a second.
+// openStreams opens streamCount streams of streamDecodeRate tokens a second each, 10,000 tokens a second in total. The
+// channel receives their combined error when all of them have ended.
 func openStreams(ctx context.Context, url, model string) <-chan error {
 	done := make(chan error, 1)
 	var wg sync.WaitGroup
@@ -205,10 +212,10 @@
 			defer wg.Done()
 			c := fleet.NewClient(url)
 			defer c.Close()
-			a, err := c.Chat(ctx, fleet.ChatRequest{Model: model, Stream: true, MaxTokens: streamTokens,
+			res, err := c.Chat(ctx, fleet.ChatRequest{Model: model, Stream: true, MaxTokens: streamTokens,
 				Messages: []fleet.Message{{Role: "user", Content: fmt.Sprintf("letter %d", i)}}})
-			if err == nil && !a.Whole {
-				err = errors.Newf("answer not whole: status %d code %s", a.Status, a.Code)
+			if err == nil && !res.Complete {
+				err = errors.Newf("incomplete answer: status %d, code %s", res.Status, res.Code)
 			}
 			mu.Lock()
 			defer mu.Unlock()
--- a/standin/internal/bench/proc.go
+++ b/standin/internal/bench/proc.go
@@ -10,22 +10,24 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ticksPerSecond is the unit of processor times in /proc on Linux.
+// ticksPerSecond is the resolution of the CPU times in /proc on Linux (USER_HZ).
 const ticksPerSecond = 100
 
-// Usage is what a process has used so far.
+// Usage is the resource usage of a process.
 type Usage struct {
-	CPU      time.Duration
+	// CPU is the user and system time so far.
+	CPU time.Duration
+	// Resident is the resident memory in bytes.
 	Resident int64
 }
 
-// usage reads what a process has used from /proc.
-func usage(pid int) (Usage, error) {
+// readUsage reads the resource usage of a process from /proc.
+func readUsage(pid int) (Usage, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return Usage{}, errors.Wrap(err, "reading processor time")
 	}
-	// The name in parentheses may hold spaces; the fields are counted after it.
+	// The program name in parentheses may contain spaces, so fields are counted from its end.
 	text := string(stat)
 	fields := strings.Fields(text[strings.LastIndexByte(text, ')')+1:])
 	const userField, systemField, residentField = 11, 12, 21
--- a/standin/internal/bench/stub.go
+++ b/standin/internal/bench/stub.go
@@ -13,14 +13,15 @@
 	"rattantrack.dev/core/settings"
 )
 
-// stub is a side without an upstream: it answers at once, so that another process can be measured beside many.
+// stub simulates a side that responds at once without an upstream. Stubs let a router or a side be measured in a service
+// with many sides.
 type stub struct {
 	id       settings.UpstreamID
 	address  string
 	endpoint *peer.Endpoint
 }
 
-// Serve answers a message as a side without load would.
+// Serve responds to a message as an idle side does.
 func (s *stub) Serve(ctx context.Context, st *peer.Stream, m peer.Message) {
 	switch v := m.(type) {
 	case *peer.Submit:
@@ -35,17 +36,17 @@
 	}
 }
 
-// stubs is a set of stubs that listen on loopback.
-type stubs struct {
+// stubSet is a set of running stubs.
+type stubSet struct {
 	list   []*stub
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 }
 
-// startStubs starts n stubs.
-func startStubs(n int) (*stubs, error) {
+// startStubs starts n stubs on loopback addresses.
+func startStubs(n int) (*stubSet, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	all := &stubs{cancel: cancel}
+	stubs := &stubSet{cancel: cancel}
 	allow, err := peer.ParseNetworks(settings.DefaultAllow)
 	if err != nil {
 		cancel()
@@ -54,7 +55,7 @@
 	for i := range n {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			all.stop()
+			stubs.stop()
 			return nil, errors.Wrap(err, "listening for a stub")
 		}
 		s := &stub{id: settings.UpstreamID(fmt.Sprintf("stub-%04d", i)), address: ln.Addr().String()}
@@ -64,17 +65,17 @@
 			h.Sent = clock.Boot{}.Now()
 			return h
 		}}
-		all.list = append(all.list, s)
-		all.done.Add(1)
+		stubs.list = append(stubs.list, s)
+		stubs.done.Add(1)
 		go func() {
-			defer all.done.Done()
+			defer stubs.done.Done()
 			_ = s.endpoint.Listen(ctx, ln)
 		}()
 	}
-	return all, nil
+	return stubs, nil
 }
 
-func (a *stubs) stop() {
+func (a *stubSet) stop() {
 	a.cancel()
 	for _, s := range a.list {
 		s.endpoint.Close()
@@ -82,9 +83,9 @@
 	a.done.Wait()
 }
 
-// declare adds the stubs to a set of declarations.
-func (a *stubs) declare(f *settings.Declarations, service settings.ServiceName) {
+// addTo adds the stubs to the declarations as upstreams of a service.
+func (a *stubSet) addTo(d *settings.Declarations, service settings.ServiceName) {
 	for _, s := range a.list {
-		f.Upstreams[s.id] = settings.Upstream{Service: service, DataCentre: "kano", Side: s.address}
+		d.Upstreams[s.id] = settings.Upstream{Service: service, DataCentre: "kano", Side: s.address}
 	}
 }
--- a/standin/internal/cmd/bench.go
+++ b/standin/internal/cmd/bench.go
@@ -15,7 +15,7 @@
 	Only []string `help:"Names of the measurements to make: path, streams, fleet, capacity."`
 }
 
-// measurement is one part of the bench.
+// measurement is one set of measurements that --only can select.
 type measurement struct {
 	name string
 	run  func(ctx context.Context, bin, dir string, w *bench.Writer) error
@@ -28,14 +28,14 @@
 	{"capacity", bench.Capacity},
 }
 
-// Run makes the measurements and writes their lines to standard output.
+// Run runs the selected measurements and writes their figures to standard output as JSON lines.
 func (c *benchCmd) Run(ctx context.Context) error {
 	bin, err := filepath.Abs(c.Bin)
 	if err != nil {
-		return errors.Wrap(err, "finding the programs")
+		return errors.Wrap(err, "resolving the directory of the programs")
 	}
 	for _, m := range measurements {
-		if !c.wanted(m.name) {
+		if !c.selected(m.name) {
 			continue
 		}
 		if err := measure(ctx, m, bin); err != nil {
@@ -45,9 +45,9 @@
 	return nil
 }
 
-func (c *benchCmd) wanted(name string) bool {
-	for _, one := range c.Only {
-		if one == name {
+func (c *benchCmd) selected(name string) bool {
+	for _, only := range c.Only {
+		if only == name {
 			return true
 		}
 	}
@@ -57,7 +57,7 @@
 func measure(ctx context.Context, m measurement, bin string) error {
 	dir, err := os.MkdirTemp("", "rattantrack-bench")
 	if err != nil {
-		return errors.Wrap(err, "making a directory")
+		return errors.Wrap(err, "creating a temporary directory")
 	}
 	defer os.RemoveAll(dir)
 	return m.run(ctx, bin, dir, &bench.Writer{Out: os.Stdout, Notes: os.Stderr})
--- a/standin/internal/cmd/configuration.go
+++ b/standin/internal/cmd/configuration.go
@@ -12,15 +12,15 @@
 	Declarations string `help:"Directory whose declarations are the first revision."`
 }
 
-// Run serves until ctx ends.
+// Run serves the simulated configuration service until ctx ends.
 func (c *configurationCmd) Run(ctx context.Context) error {
 	s := &configuration.Service{}
 	if c.Declarations != "" {
-		fleet, err := settings.LoadDeclarations(c.Declarations)
+		declarations, err := settings.LoadDeclarations(c.Declarations)
 		if err != nil {
 			return err
 		}
-		docs, err := fleet.Documents()
+		docs, err := declarations.Documents()
 		if err != nil {
 			return err
 		}
--- a/standin/internal/cmd/demo.go
+++ b/standin/internal/cmd/demo.go
@@ -18,48 +18,48 @@
 	Bin string `default:"bin" help:"Directory of the programs."`
 }
 
-// demoLimit bounds the whole demo.
-const demoLimit = time.Minute
+// demoTimeout bounds the duration of the demo.
+const demoTimeout = time.Minute
 
-// demo is a running demo with what it has shown so far.
+// demo is a running demo.
 type demo struct {
-	fleet *fleet.Fleet
-	chat  fleet.ChatRequest
-	last  fleet.Answer
+	fleet        *fleet.Fleet
+	chat         fleet.ChatRequest
+	lastResponse fleet.Response
 }
 
-// demoStep is one thing that the demo shows.
+// demoStep is one step of the demo; run returns a summary of what it has shown.
 type demoStep struct {
 	title string
 	run   func(d *demo, ctx context.Context) (string, error)
 }
 
-// demoSteps lists what is shown, in order.
+// demoSteps lists the steps in order.
 var demoSteps = []demoStep{
-	{"a chat of four turns through either router", (*demo).talk},
-	{"the cached prefix is reused", (*demo).reuse},
+	{"a chat of four turns through either router", (*demo).runChat},
+	{"the cached prefix is reused", (*demo).checkReuse},
 	{"a fee is debited once", (*demo).debit},
-	{"an upstream is taken away", (*demo).takeAway},
-	{"a process shows its state", (*demo).dump},
+	{"an upstream is taken away", (*demo).stopUpstream},
+	{"a process shows its state", (*demo).showDump},
 	{"everything stops cleanly", (*demo).stop},
 }
 
-// Run starts a small fleet, shows what it does, and fails if any of it did not hold.
+// Run starts a small fleet and runs the steps; it stops at the first step that fails and returns its error.
 func (c *demoCmd) Run(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, demoLimit)
+	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
 	dir, err := os.MkdirTemp("", "rattantrack-demo")
 	if err != nil {
-		return errors.Wrap(err, "making a directory")
+		return errors.Wrap(err, "creating a temporary directory")
 	}
 	defer os.RemoveAll(dir)
 	bin, err := filepath.Abs(c.Bin)
 	if err != nil {
-		return errors.Wrap(err, "finding the programs")
+		return errors.Wrap(err, "resolving the directory of the programs")
 	}
 	fmt.Println("starting 2 routers, 3 engines, 2 plain services, their sides and the platform's stand-ins")
 	f, err := fleet.Start(ctx, fleet.Options{
-		Bin: bin, Dir: dir, Routers: 2, Engines: 3, Plains: 2,
+		BinDir: bin, SettingsDir: dir, Routers: 2, Engines: 3, PlainServices: 2,
 		DrainTime: 5 * time.Second, NoticeTime: 200 * time.Millisecond,
 	})
 	if err != nil {
@@ -68,12 +68,12 @@
 	defer func() { _ = f.Stop() }()
 	d := &demo{fleet: f}
 	for _, step := range demoSteps {
-		shown, err := step.run(d, ctx)
+		summary, err := step.run(d, ctx)
 		if err != nil {
 			fmt.Printf("FAILED  %s: %v\n", step.title, err)
 			return errors.Wrap(err, step.title)
 		}
-		fmt.Printf("ok      %s: %s\n", step.title, shown)
+		fmt.Printf("ok      %s: %s\n", step.title, summary)
 	}
 	return nil
 }
@@ -85,21 +85,21 @@
 func (d *demo) turn(ctx context.Context, i int) error {
 	c := d.client(i)
 	defer c.Close()
-	a, err := c.Chat(ctx, d.chat)
+	res, err := c.Chat(ctx, d.chat)
 	if err != nil {
 		return err
 	}
-	if !a.Whole || a.Status != http.StatusOK {
-		return errors.Newf("turn %d ended with status %d, code %q", i, a.Status, a.Code)
+	if !res.Complete || res.Status != http.StatusOK {
+		return errors.Newf("turn %d ended with status %d, code %q", i, res.Status, res.Code)
 	}
-	d.last = a
+	d.lastResponse = res
 	d.chat.Messages = append(d.chat.Messages,
-		fleet.Message{Role: "assistant", Content: a.Text},
+		fleet.Message{Role: "assistant", Content: res.Text},
 		fleet.Message{Role: "user", Content: "And after that?"})
 	return nil
 }
 
-func (d *demo) talk(ctx context.Context) (string, error) {
+func (d *demo) runChat(ctx context.Context) (string, error) {
 	d.chat = fleet.ChatRequest{Model: "answer", Stream: true, Messages: []fleet.Message{
 		{Role: "user", Content: "Which bus goes to the museum on Friday, and may my daughter take her own lunch?"},
 	}}
@@ -108,37 +108,37 @@
 			return "", err
 		}
 	}
-	return fmt.Sprintf("%d tokens in the last answer, from %s", d.last.Tokens, d.last.Upstream), nil
+	return fmt.Sprintf("%d tokens in the last answer, from %s", d.lastResponse.Tokens, d.lastResponse.Upstream), nil
 }
 
-func (d *demo) reuse(context.Context) (string, error) {
-	if d.last.Cached == 0 {
+func (d *demo) checkReuse(context.Context) (string, error) {
+	if d.lastResponse.CachedTokens == 0 {
 		return "", errors.New("the engine found nothing of the chat in its cache")
 	}
-	return fmt.Sprintf("%d prompt tokens were cached in the fourth turn", d.last.Cached), nil
+	return fmt.Sprintf("%d prompt tokens were cached in the fourth turn", d.lastResponse.CachedTokens), nil
 }
 
 func (d *demo) debit(ctx context.Context) (string, error) {
 	c := d.client(0)
 	defer c.Close()
-	ticket, err := c.Ticket(ctx, "debit")
+	ticket, err := c.RequestTicket(ctx, "debit")
 	if err != nil {
 		return "", err
 	}
 	header := http.Header{"Rattantrack-Ticket": []string{ticket}}
 	for i := range 3 {
-		again := d.client(i)
-		a, err := again.Plain(ctx, http.MethodPost, "debit", "/fees", "museum fee", header)
-		again.Close()
+		client := d.client(i)
+		res, err := client.CallPlain(ctx, http.MethodPost, "debit", "/fees", "museum fee", header)
+		client.Close()
 		if err != nil {
 			return "", err
 		}
-		if a.Status != http.StatusOK {
-			return "", errors.Newf("debit answered %d, code %q", a.Status, a.Code)
+		if res.Status != http.StatusOK {
+			return "", errors.Newf("debit answered %d, code %q", res.Status, res.Code)
 		}
 	}
 	runs := 0
-	for _, u := range d.fleet.Plains {
+	for _, u := range d.fleet.PlainServices {
 		var list []plain.Run
 		if err := fleet.Get(ctx, u.URL+"/runs", &list); err != nil {
 			return "", err
@@ -151,37 +151,37 @@
 	return "sent three times through both routers, run once", nil
 }
 
-func (d *demo) takeAway(ctx context.Context) (string, error) {
+func (d *demo) stopUpstream(ctx context.Context) (string, error) {
 	for _, u := range d.fleet.Engines {
-		if string(u.ID) != d.last.Upstream {
+		if string(u.ID) != d.lastResponse.Upstream {
 			continue
 		}
 		if err := u.Side.Stop(); err != nil {
 			return "", err
 		}
 	}
-	before := d.last.Upstream
+	before := d.lastResponse.Upstream
 	if err := d.turn(ctx, 1); err != nil {
 		return "", err
 	}
-	if d.last.Upstream == before {
+	if d.lastResponse.Upstream == before {
 		return "", errors.New("the upstream that left still served")
 	}
-	return fmt.Sprintf("%s left, %s went on with the chat", before, d.last.Upstream), nil
+	return fmt.Sprintf("%s left, %s went on with the chat", before, d.lastResponse.Upstream), nil
 }
 
-func (d *demo) dump(ctx context.Context) (string, error) {
+func (d *demo) showDump(ctx context.Context) (string, error) {
 	var sections []struct {
 		Name string `json:"name"`
 	}
-	e := d.fleet.Routers[0]
-	if err := fleet.Get(ctx, "http://"+e.Operator+"/dump", &sections); err != nil {
+	r := d.fleet.Routers[0]
+	if err := fleet.Get(ctx, "http://"+r.Operator+"/dump", &sections); err != nil {
 		return "", err
 	}
 	if len(sections) == 0 {
 		return "", errors.New("the dump is empty")
 	}
-	return fmt.Sprintf("%s has %d parts, see http://%s/dump while it runs", e.Name, len(sections), e.Operator), nil
+	return fmt.Sprintf("%s has %d parts, see http://%s/dump while it runs", r.Name, len(sections), r.Operator), nil
 }
 
 func (d *demo) stop(context.Context) (string, error) {
--- a/standin/internal/cmd/doc.go
+++ b/standin/internal/cmd/doc.go
@@ -1,2 +1,2 @@
-// Package cmd holds the stand-ins' command line, a file for each command.
+// Package cmd implements the commands of standin.
 package cmd
--- a/standin/internal/cmd/plain.go
+++ b/standin/internal/cmd/plain.go
@@ -11,7 +11,7 @@
 	Name   string `default:"plain" help:"Name that answers carry."`
 }
 
-// Run serves until ctx ends.
+// Run serves the simulated plain service until ctx ends.
 func (c *plainCmd) Run(ctx context.Context) error {
 	s := &plain.Service{Name: c.Name}
 	return serve(ctx, c.Listen, s.Handler())
--- a/standin/internal/cmd/relay.go
+++ b/standin/internal/cmd/relay.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// relayBuffer holds one event of a stream and more.
-const relayBuffer = 4 << 10
+// relayBufferBytes is larger than one event of a stream.
+const relayBufferBytes = 4 << 10
 
 type relayCmd struct {
 	Listen  string   `required:"" help:"Address to serve on."`
@@ -16,12 +16,12 @@
 	next atomic.Uint64
 }
 
-// Run serves a naive relay, the baseline for the cost of the path, until ctx ends.
+// Run serves a relay without any routing decision until ctx ends. Measurements use it as the baseline for a router's cost.
 func (c *relayCmd) Run(ctx context.Context) error {
 	return serve(ctx, c.Listen, http.HandlerFunc(c.relay))
 }
 
-// relay passes a request on and its answer back, flushing each piece, and decides nothing.
+// relay forwards a request to the next target and copies the response, with a flush after each read.
 func (c *relayCmd) relay(w http.ResponseWriter, r *http.Request) {
 	target := c.Targets[c.next.Add(1)%uint64(len(c.Targets))]
 	req, err := http.NewRequestWithContext(r.Context(), r.Method, target+r.URL.Path, r.Body)
@@ -39,10 +39,10 @@
 	w.Header().Set("Content-Type", res.Header.Get("Content-Type"))
 	w.WriteHeader(res.StatusCode)
 	flush, _ := w.(http.Flusher)
-	piece := make([]byte, relayBuffer)
+	buf := make([]byte, relayBufferBytes)
 	for {
-		n, err := res.Body.Read(piece)
-		if _, writeErr := w.Write(piece[:n]); writeErr != nil {
+		n, err := res.Body.Read(buf)
+		if _, writeErr := w.Write(buf[:n]); writeErr != nil {
 			return
 		}
 		if flush != nil {
--- a/standin/internal/cmd/root.go
+++ b/standin/internal/cmd/root.go
@@ -24,7 +24,7 @@
 	Demo          demoCmd          `cmd:"" help:"Start a small fleet and show what it does."`
 }
 
-// Main runs the command line and returns its exit code.
+// Main parses and runs the command line and returns the exit code.
 func Main() int {
 	var r root
 	k := kong.Parse(&r, kong.Name("standin"), kong.Description("Small stand-ins for tests and the demo."))
@@ -35,12 +35,12 @@
 }
 
 const (
-	headerLimit = 5 * time.Second
-	stopLimit   = 30 * time.Second
+	readHeaderTimeout = 5 * time.Second
+	stopTimeout       = 30 * time.Second
 )
 
-// serve runs an HTTP stand-in until ctx ends.
+// serve serves HTTP until ctx ends.
 func serve(ctx context.Context, address string, h http.Handler) error {
-	srv := &http.Server{Handler: h, ReadHeaderTimeout: headerLimit}
-	return operator.ServeHTTP(ctx, srv, address, stopLimit, func() {})
+	srv := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout}
+	return operator.ServeHTTP(ctx, srv, address, stopTimeout, func() {})
 }
--- a/standin/internal/cmd/vmlist.go
+++ b/standin/internal/cmd/vmlist.go
@@ -12,7 +12,7 @@
 	Lag    time.Duration `default:"2s" help:"Age of the list."`
 }
 
-// Run serves until ctx ends.
+// Run serves the simulated VM list until ctx ends.
 func (c *vmListCmd) Run(ctx context.Context) error {
 	s := &vmlist.Service{Lag: c.Lag}
 	return serve(ctx, c.Listen, s.Handler())
--- a/standin/internal/fleet/client.go
+++ b/standin/internal/fleet/client.go
@@ -30,111 +30,113 @@
 	MaxTokens int       `json:"max_tokens,omitempty"`
 }
 
-// Answer is what a caller got.
-type Answer struct {
-	Status     int
-	Outcome    string
-	Code       string
-	Upstream   string
-	RetryAfter string
-	Text       string
-	Tokens     int
-	Cached     int
-	Prompt     int
-	// Whole says that the answer came to its proper end.
-	Whole bool
-	// FirstToken and Took are the times until the first token and the end.
-	FirstToken time.Duration
-	Took       time.Duration
+// Response is the response to a call, with its body as read by the client.
+type Response struct {
+	Status       int
+	Outcome      string
+	Code         string
+	Upstream     string
+	RetryAfter   string
+	Text         string
+	Tokens       int
+	CachedTokens int
+	PromptTokens int
+	// Complete reports whether the whole response has arrived; a stream is complete once its end marker has.
+	Complete bool
+	// TimeToFirstToken is the time from the call to the first token of a stream.
+	TimeToFirstToken time.Duration
+	// Duration is the time from the call to the end of the response.
+	Duration time.Duration
 }
 
-// Client calls a router as a caller does.
+// Client sends calls to a router.
 type Client struct {
 	URL  string
 	Team settings.TeamID
 	HTTP *http.Client
 }
 
-// NewClient returns a client with connections of its own.
+// NewClient returns a client with its own connection pool.
 func NewClient(url string) *Client {
 	return &Client{URL: url, Team: Team, HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}}
 }
 
-// Close ends idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.HTTP.CloseIdleConnections() }
 
-// Chat sends one turn of a chat and reads the answer.
-func (c *Client) Chat(ctx context.Context, q ChatRequest) (Answer, error) {
-	body, err := json.Marshal(q)
+// Chat sends one turn of a chat and reads the response.
+func (c *Client) Chat(ctx context.Context, request ChatRequest) (Response, error) {
+	body, err := json.Marshal(request)
 	if err != nil {
-		return Answer{}, errors.Wrap(err, "encoding a chat")
+		return Response{}, errors.Wrap(err, "encoding a chat")
 	}
 	return c.call(ctx, http.MethodPost, "/v1/chat/completions", body, nil)
 }
 
-// Plain calls a plain service.
-func (c *Client) Plain(ctx context.Context, method string, profile settings.ProfileName, path, body string, header http.Header) (Answer, error) {
+// CallPlain calls a plain service.
+func (c *Client) CallPlain(ctx context.Context, method string, profile settings.ProfileName, path, body string, header http.Header,
+) (Response, error) {
 	return c.call(ctx, method, "/v1/services/"+string(profile)+path, []byte(body), header)
 }
 
-// Ticket asks for a ticket.
-func (c *Client) Ticket(ctx context.Context, profile settings.ProfileName) (string, error) {
-	a, err := c.call(ctx, http.MethodPost, "/v1/tickets?profile="+string(profile), nil, nil)
+// RequestTicket requests an idempotency ticket for a profile.
+func (c *Client) RequestTicket(ctx context.Context, profile settings.ProfileName) (string, error) {
+	response, err := c.call(ctx, http.MethodPost, "/v1/tickets?profile="+string(profile), nil, nil)
 	if err != nil {
 		return "", err
 	}
-	if a.Status != http.StatusOK {
-		return "", errors.Newf("no ticket: %d %s", a.Status, a.Code)
+	if response.Status != http.StatusOK {
+		return "", errors.Newf("no ticket: status %d, code %s", response.Status, response.Code)
 	}
-	return gjson.Get(a.Text, "ticket").String(), nil
+	return gjson.Get(response.Text, "ticket").String(), nil
 }
 
-func (c *Client) call(ctx context.Context, method, path string, body []byte, header http.Header) (Answer, error) {
+func (c *Client) call(ctx context.Context, method, path string, body []byte, header http.Header) (Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.URL+path, bytes.NewReader(body))
 	if err != nil {
-		return Answer{}, errors.Wrap(err, "building a request")
+		return Response{}, errors.Wrap(err, "building a request")
 	}
-	// A test counts every send, so the transport must not repeat one.
+	// Tests count the requests that are sent, so the transport must not resend one: without GetBody it cannot.
 	req.GetBody = nil
 	if header != nil {
 		req.Header = header.Clone()
 	}
 	req.Header.Set("Rattantrack-Team", string(c.Team))
 	start := time.Now()
-	res, err := c.HTTP.Do(req)
+	httpRes, err := c.HTTP.Do(req)
 	if err != nil {
-		return Answer{}, errors.Wrap(err, "calling a router")
+		return Response{}, errors.Wrap(err, "calling a router")
 	}
-	defer res.Body.Close()
-	a := Answer{
-		Status:     res.StatusCode,
-		Outcome:    res.Header.Get("Rattantrack-Outcome"),
-		Upstream:   res.Header.Get("Rattantrack-Hint"),
-		RetryAfter: res.Header.Get("Retry-After"),
+	defer httpRes.Body.Close()
+	response := Response{
+		Status:     httpRes.StatusCode,
+		Outcome:    httpRes.Header.Get("Rattantrack-Outcome"),
+		Upstream:   httpRes.Header.Get("Rattantrack-Hint"),
+		RetryAfter: httpRes.Header.Get("Retry-After"),
 	}
-	if strings.HasPrefix(res.Header.Get("Content-Type"), "text/event-stream") {
-		err = a.readEvents(res.Body, start)
+	if strings.HasPrefix(httpRes.Header.Get("Content-Type"), "text/event-stream") {
+		err = response.readEvents(httpRes.Body, start)
 	} else {
-		err = a.readBody(res.Body)
+		err = response.readBody(httpRes.Body)
 	}
-	a.Took = time.Since(start)
-	return a, err
+	response.Duration = time.Since(start)
+	return response, err
 }
 
-func (a *Answer) readBody(r io.Reader) error {
-	text, err := io.ReadAll(r)
+func (r *Response) readBody(body io.Reader) error {
+	text, err := io.ReadAll(body)
 	if err != nil {
-		return errors.Wrap(err, "reading an answer")
+		return errors.Wrap(err, "reading a response body")
 	}
-	a.Text = string(text)
-	a.Code = gjson.Get(a.Text, "error.code").String()
-	a.Cached = int(gjson.Get(a.Text, "usage.prompt_tokens_details.cached_tokens").Int())
-	a.Whole = true
+	r.Text = string(text)
+	r.Code = gjson.Get(r.Text, "error.code").String()
+	r.CachedTokens = int(gjson.Get(r.Text, "usage.prompt_tokens_details.cached_tokens").Int())
+	r.Complete = true
 	return nil
 }
 
-func (a *Answer) readEvents(r io.Reader, start time.Time) error {
-	scanner := bufio.NewScanner(r)
+func (r *Response) readEvents(body io.Reader, start time.Time) error {
+	scanner := bufio.NewScanner(body)
 	var text strings.Builder
 	for scanner.Scan() {
 		data, ok := strings.CutPrefix(scanner.Text(), "data: ")
@@ -142,25 +144,25 @@
 			continue
 		}
 		if data == "[DONE]" {
-			a.Whole = true
+			r.Complete = true
 			continue
 		}
 		if code := gjson.Get(data, "error.code"); code.Exists() {
-			a.Code = code.String()
-			a.Outcome = gjson.Get(data, "error.outcome").String()
+			r.Code = code.String()
+			r.Outcome = gjson.Get(data, "error.outcome").String()
 		}
 		if content := gjson.Get(data, "choices.0.delta.content").String(); content != "" {
-			if a.Tokens == 0 {
-				a.FirstToken = time.Since(start)
+			if r.Tokens == 0 {
+				r.TimeToFirstToken = time.Since(start)
 			}
-			a.Tokens++
+			r.Tokens++
 			text.WriteString(content)
 		}
 		if u := gjson.Get(data, "usage.prompt_tokens_details.cached_tokens"); u.Exists() {
-			a.Cached = int(u.Int())
-			a.Prompt = int(gjson.Get(data, "usage.prompt_tokens").Int())
+			r.CachedTokens = int(u.Int())
+			r.PromptTokens = int(gjson.Get(data, "usage.prompt_tokens").Int())
 		}
 	}
-	a.Text = text.String()
+	r.Text = text.String()
 	return errors.Wrap(scanner.Err(), "reading events")
 }
--- a/standin/internal/fleet/declarations_test.go
+++ b/standin/internal/fleet/declarations_test.go
@@ -14,10 +14,10 @@
 	"rattantrack.dev/standin/internal/configuration"
 )
 
-// inForceLimit is the target for a version to be in force everywhere.
-const inForceLimit = 3 * time.Second
+// maxPropagationTime is the target for the time until a revision is in force at every process.
+const maxPropagationTime = 3 * time.Second
 
-// revisionAt asks a process which revision is in force.
+// revisionAt reads from a process's dump which revision is in force there.
 func revisionAt(ctx context.Context, operator string) (settings.Revision, error) {
 	var sections []struct {
 		Name  string          `json:"name"`
@@ -38,10 +38,10 @@
 
 func (f *Fleet) operators() []string {
 	var list []string
-	for _, e := range f.Routers {
-		list = append(list, e.Operator)
+	for _, r := range f.Routers {
+		list = append(list, r.Operator)
 	}
-	for _, u := range f.Units() {
+	for _, u := range f.Upstreams() {
 		list = append(list, u.Operator)
 	}
 	return list
@@ -50,22 +50,22 @@
 // waitInForce waits until a revision is in force at the given processes.
 func waitInForce(ctx context.Context, t *testing.T, r settings.Revision, operators ...string) {
 	t.Helper()
-	begun := time.Now()
+	startedAt := time.Now()
 	for _, o := range operators {
 		for {
-			have, err := revisionAt(ctx, o)
-			if err == nil && have >= r {
+			got, err := revisionAt(ctx, o)
+			if err == nil && got >= r {
 				break
 			}
-			if time.Since(begun) > inForceLimit {
-				t.Fatalf("%s has revision %d after %s, want %d", o, have, time.Since(begun), r)
+			if time.Since(startedAt) > maxPropagationTime {
+				t.Fatalf("%s has revision %d after %s, want %d", o, got, time.Since(startedAt), r)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
 }
 
-func teamDoc(share int) settings.Document {
+func teamDocument(share int) settings.Document {
 	return settings.Document{Key: "teams/heads", Value: fmt.Sprintf("share: %d", share)}
 }
 
@@ -76,42 +76,42 @@
 	return r
 }
 
-func configurationFaults(ctx context.Context, t *testing.T, f *Fleet, faults configuration.Faults) {
+func setConfigurationFaults(ctx context.Context, t *testing.T, f *Fleet, faults configuration.Faults) {
 	t.Helper()
 	qt.Assert(t, Post(ctx, f.ConfigURL+"/faults", faults, nil), qt.IsNil)
 }
 
-func TestAcceptedVersionIsInForceEverywhereAndStays(t *testing.T) {
+func TestAcceptedRevisionIsInForceEverywhere(t *testing.T) {
 	c := qt.New(t)
 	ctx := testContext(t)
-	f := start(t, Options{Routers: 3, Engines: 3, Plains: 2})
+	f := start(t, Options{Routers: 3, Engines: 3, PlainServices: 2})
 
-	// Two versions within a second.
-	publish(ctx, t, f, teamDoc(2))
-	second := publish(ctx, t, f, teamDoc(3))
+	// Two revisions within a second.
+	publish(ctx, t, f, teamDocument(2))
+	second := publish(ctx, t, f, teamDocument(3))
 	waitInForce(ctx, t, second, f.operators()...)
 
-	// A stale answer after a newer one.
-	configurationFaults(ctx, t, f, configuration.Faults{StaleRevision: 1})
+	// The service responds with an older revision than before.
+	setConfigurationFaults(ctx, t, f, configuration.Faults{StaleRevision: 1})
 	time.Sleep(time.Second)
 	waitInForce(ctx, t, second, f.operators()...)
-	configurationFaults(ctx, t, f, configuration.Faults{})
+	setConfigurationFaults(ctx, t, f, configuration.Faults{})
 
-	// An invalid version is refused whole, and the next valid one is accepted.
-	bad := publish(ctx, t, f, teamDoc(-1))
+	// An invalid revision is not applied at all, and the next valid one is accepted.
+	bad := publish(ctx, t, f, teamDocument(-1))
 	time.Sleep(time.Second)
 	for _, o := range f.operators() {
-		have, err := revisionAt(ctx, o)
+		got, err := revisionAt(ctx, o)
 		c.Assert(err, qt.IsNil)
-		c.Assert(have < bad, qt.IsTrue)
+		c.Assert(got < bad, qt.IsTrue)
 	}
-	good := publish(ctx, t, f, teamDoc(4))
+	good := publish(ctx, t, f, teamDocument(4))
 	waitInForce(ctx, t, good, f.operators()...)
 
-	// A router paused through three versions.
+	// A router is paused while three revisions are published.
 	c.Assert(f.Routers[0].Pause(ctx), qt.IsNil)
 	for share := range 3 {
-		good = publish(ctx, t, f, teamDoc(share+5))
+		good = publish(ctx, t, f, teamDocument(share+5))
 		time.Sleep(300 * time.Millisecond)
 	}
 	waitInForce(ctx, t, good, f.operators()[1:]...)
@@ -119,53 +119,53 @@
 	waitInForce(ctx, t, good, f.operators()...)
 }
 
-func TestRestartOfAllButOneWithTheServiceDownKeepsTheVersion(t *testing.T) {
+func TestRestartsWhileTheServiceIsDownKeepTheRevision(t *testing.T) {
 	c := qt.New(t)
 	ctx := testContext(t)
-	f := start(t, Options{Routers: 2, Engines: 2, Plains: 1})
-	r := publish(ctx, t, f, teamDoc(2))
+	f := start(t, Options{Routers: 2, Engines: 2, PlainServices: 1})
+	r := publish(ctx, t, f, teamDocument(2))
 	waitInForce(ctx, t, r, f.operators()...)
-	configurationFaults(ctx, t, f, configuration.Faults{Down: true})
-	for _, u := range f.Units() {
+	setConfigurationFaults(ctx, t, f, configuration.Faults{Down: true})
+	for _, u := range f.Upstreams() {
 		c.Assert(u.Side.Restart(ctx), qt.IsNil)
 	}
 	c.Assert(f.Routers[0].Restart(ctx), qt.IsNil)
 	waitInForce(ctx, t, r, f.operators()...)
-	a, err := client(t, f.Routers[0].URL).Chat(ctx, question("Still there?"))
+	res, err := client(t, f.Routers[0].URL).Chat(ctx, chatRequest("Still there?"))
 	c.Assert(err, qt.IsNil)
-	c.Assert(a.Whole, qt.IsTrue)
+	c.Assert(res.Complete, qt.IsTrue)
 }
 
-func TestRestartedRouterTakesNoStaleAnswerBack(t *testing.T) {
+func TestRestartedRouterIgnoresStaleRevisions(t *testing.T) {
 	c := qt.New(t)
 	ctx := testContext(t)
 	f := start(t, Options{Routers: 2, Engines: 2})
-	r := publish(ctx, t, f, teamDoc(2))
+	r := publish(ctx, t, f, teamDocument(2))
 	waitInForce(ctx, t, r, f.operators()...)
-	configurationFaults(ctx, t, f, configuration.Faults{StaleRevision: 1})
+	setConfigurationFaults(ctx, t, f, configuration.Faults{StaleRevision: 1})
 	for range 5 {
 		c.Assert(f.Routers[0].Restart(ctx), qt.IsNil)
-		have, err := revisionAt(ctx, f.Routers[0].Operator)
+		got, err := revisionAt(ctx, f.Routers[0].Operator)
 		c.Assert(err, qt.IsNil)
-		c.Assert(have, qt.Equals, r)
+		c.Assert(got, qt.Equals, r)
 	}
 }
 
-// readsAllowed is a tenth of what the configuration service serves a second.
-const readsAllowed = 200
+// maxReadsPerSecond is a tenth of the reads that the configuration service can serve.
+const maxReadsPerSecond = 200
 
-func TestReadsOfTheConfigurationServiceStayFew(t *testing.T) {
+func TestConfigurationServiceReadRateIsBounded(t *testing.T) {
 	c := qt.New(t)
 	ctx := testContext(t)
 	f := start(t, Options{Routers: 8, Engines: 1})
 	var before, after int
 	c.Assert(Get(ctx, f.ConfigURL+"/reads", &before), qt.IsNil)
-	begun := time.Now()
-	for time.Since(begun) < 3*time.Second {
-		publish(ctx, t, f, teamDoc(1+before%3))
+	startedAt := time.Now()
+	for time.Since(startedAt) < 3*time.Second {
+		publish(ctx, t, f, teamDocument(1+before%3))
 		time.Sleep(100 * time.Millisecond)
 	}
 	c.Assert(Get(ctx, f.ConfigURL+"/reads", &after), qt.IsNil)
-	rate := float64(after-before) / time.Since(begun).Seconds()
-	c.Assert(rate < readsAllowed, qt.IsTrue, qt.Commentf("%.1f reads a second", rate))
+	rate := float64(after-before) / time.Since(startedAt).Seconds()
+	c.Assert(rate < maxReadsPerSecond, qt.IsTrue, qt.Commentf("%.1f reads a second", rate))
 }
--- a/standin/internal/fleet/fleet.go
+++ b/standin/internal/fleet/fleet.go
@@ -20,47 +20,53 @@
 	"rattantrack.dev/core/settings"
 )
 
-// Names of the services that the fleet declares.
+// Names of the services and of the team that the fleet declares.
 const (
 	ModelService = settings.ServiceName("letterhouse")
 	PlainService = settings.ServiceName("permit-desk")
 	Team         = settings.TeamID("parents")
 )
 
-// Options shape a fleet.
+// Options are the settings of a fleet.
 type Options struct {
-	// Bin is the directory of the programs, Dir one for settings files.
-	Bin     string
-	Dir     string
-	Routers int
-	Engines int
-	Plains  int
-	// DecodeRate is the engines' answer tokens a second.
+	// BinDir is the directory that contains the programs.
+	BinDir string
+	// SettingsDir is the directory to which the settings files are written.
+	SettingsDir   string
+	Routers       int
+	Engines       int
+	PlainServices int
+	// DecodeRate is the number of answer tokens a second that an engine sends on each stream, 0 for 200.
 	DecodeRate float64
-	// Declare changes the declarations before the start.
-	Declare func(f *settings.Declarations)
-	// DrainTime is the processes' drain time, NoticeTime the routers' notice time.
-	DrainTime  time.Duration
+	// EditDeclarations changes the declarations before they are published; it may be nil.
+	EditDeclarations func(d *settings.Declarations)
+	// DrainTime is the drain time of the routers and sides.
+	DrainTime time.Duration
+	// NoticeTime is the notice time of the routers.
 	NoticeTime time.Duration
 }
 
-// Unit is an upstream with its side.
-type Unit struct {
-	ID       settings.UpstreamID
-	Upstream *Process
-	Side     *Process
-	// URL is the upstream's base URL, Peer and Operator the side's addresses.
-	URL      string
-	Peer     string
+// Upstream is an upstream process with its side.
+type Upstream struct {
+	ID      settings.UpstreamID
+	Process *Process
+	Side    *Process
+	// URL is the base URL of the upstream process.
+	URL string
+	// Peer is the side's address for routers and other sides.
+	Peer string
+	// Operator is the side's address for operators.
 	Operator string
 }
 
-// Entry is one router.
-type Entry struct {
+// Router is a router process with its addresses.
+type Router struct {
 	*Process
 	// URL is the base URL for callers.
-	URL      string
-	Peer     string
+	URL string
+	// Peer is the address for sides and other routers.
+	Peer string
+	// Operator is the address for operators.
 	Operator string
 
 	cfg settings.Router
@@ -74,14 +80,15 @@
 	VMList        *Process
 	ConfigURL     string
 	VMListURL     string
-	Routers       []*Entry
-	Engines       []*Unit
-	Plains        []*Unit
+	Routers       []*Router
+	Engines       []*Upstream
+	PlainServices []*Upstream
 
+	// started lists the processes in the order of their start.
 	started []*Process
 }
 
-// Start starts a fleet and waits until all of it is ready.
+// Start starts a fleet and waits until every process is ready.
 func Start(ctx context.Context, o Options) (*Fleet, error) {
 	f := &Fleet{Options: o}
 	if err := f.start(ctx); err != nil {
@@ -93,13 +100,13 @@
 
 func (f *Fleet) start(ctx context.Context) error {
 	steps := []func(context.Context) error{
-		f.planUnits,
+		f.planUpstreams,
 		f.planRouters,
 		f.startPlatform,
 		f.startUpstreams,
 		f.startRouters,
 		f.startSides,
-		f.waitReady,
+		f.waitAllReady,
 	}
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
@@ -109,9 +116,10 @@
 	return nil
 }
 
-// Stop stops every process, routers first, and reports those that did not end cleanly.
+// Stop stops the running processes in the reverse order of their start and returns the errors of those that did not end
+// cleanly.
 func (f *Fleet) Stop() error {
-	var all error
+	var err error
 	for i := len(f.started) - 1; i >= 0; i-- {
 		p := f.started[i]
 		select {
@@ -119,45 +127,47 @@
 			continue
 		default:
 		}
-		all = errors.CombineErrors(all, p.Stop())
+		err = errors.CombineErrors(err, p.Stop())
 	}
-	return all
+	return err
 }
 
-// Ports of the fleet's processes, below those that the system gives to outgoing connections.
+// Ports of the fleet's processes. They lie below the ephemeral ports, which the kernel assigns to outgoing connections.
 const (
-	firstPort  = 18000
-	blockPorts = 500
-	blocks     = 28
+	firstPort     = 18000
+	portsPerBlock = 500
+	blockCount    = 28
 )
 
+// nextPort counts the ports tried, so that an address is not returned again right away.
 var nextPort atomic.Int64
 
-// portBlock is a block of ports that no other test process on this machine uses. It belongs to whoever listens on its
-// first port, which lasts until the process ends.
+// portBlock is a block of ports reserved for this process. A process reserves a block by listening on the block's first
+// port until it ends, so that test processes that run at the same time do not use each other's ports.
 type portBlock struct {
-	first int64
-	owner net.Listener
+	first    int64
+	listener net.Listener
 }
 
-var ownBlock = sync.OnceValue(func() portBlock {
-	for i := range int64(blocks) {
-		first := firstPort + i*blockPorts
+// reservedBlock reserves a block on its first call; its listener is nil if every block is taken.
+var reservedBlock = sync.OnceValue(func() portBlock {
+	for i := range int64(blockCount) {
+		first := firstPort + i*portsPerBlock
 		if ln, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", first)); err == nil {
-			return portBlock{first: first, owner: ln}
+			return portBlock{first: first, listener: ln}
 		}
 	}
 	return portBlock{}
 })
 
-// freeAddress returns a loopback address that nobody listens on.
+// freeAddress returns a loopback address on which no process listens at present.
 func freeAddress() (string, error) {
-	block := ownBlock()
-	if block.owner == nil {
+	block := reservedBlock()
+	if block.listener == nil {
 		return "", errors.New("no free block of ports")
 	}
-	for range blockPorts {
-		address := fmt.Sprintf("127.0.0.1:%d", block.first+1+nextPort.Add(1)%(blockPorts-1))
+	for range portsPerBlock {
+		address := fmt.Sprintf("127.0.0.1:%d", block.first+1+nextPort.Add(1)%(portsPerBlock-1))
 		ln, err := net.Listen("tcp", address)
 		if err != nil {
 			continue
@@ -167,50 +177,51 @@
 	return "", errors.New("no free port")
 }
 
-func addresses(into ...*string) error {
-	for _, a := range into {
+// assignAddresses sets each target to a free loopback address.
+func assignAddresses(targets ...*string) error {
+	for _, target := range targets {
 		address, err := freeAddress()
 		if err != nil {
 			return err
 		}
-		*a = address
+		*target = address
 	}
 	return nil
 }
 
-func (f *Fleet) planUnits(context.Context) error {
+func (f *Fleet) planUpstreams(context.Context) error {
 	f.Declarations = baseDeclarations()
 	var err error
-	f.Engines, err = f.plan(ModelService, "runner", f.Options.Engines)
+	f.Engines, err = f.planService(ModelService, "runner", f.Options.Engines)
 	if err != nil {
 		return err
 	}
-	f.Plains, err = f.plan(PlainService, "desk", f.Options.Plains)
+	f.PlainServices, err = f.planService(PlainService, "desk", f.Options.PlainServices)
 	if err != nil {
 		return err
 	}
-	if f.Options.Declare != nil {
-		f.Options.Declare(f.Declarations)
+	if f.Options.EditDeclarations != nil {
+		f.Options.EditDeclarations(f.Declarations)
 	}
 	return nil
 }
 
-func (f *Fleet) plan(service settings.ServiceName, prefix string, n int) ([]*Unit, error) {
-	var units []*Unit
+func (f *Fleet) planService(service settings.ServiceName, prefix string, n int) ([]*Upstream, error) {
+	var upstreams []*Upstream
 	for i := range n {
-		u := &Unit{ID: settings.UpstreamID(fmt.Sprintf("%s-%02d", prefix, i+1))}
-		var upstream string
-		if err := addresses(&upstream, &u.Peer, &u.Operator); err != nil {
+		u := &Upstream{ID: settings.UpstreamID(fmt.Sprintf("%s-%02d", prefix, i+1))}
+		var address string
+		if err := assignAddresses(&address, &u.Peer, &u.Operator); err != nil {
 			return nil, err
 		}
-		u.URL = "http://" + upstream
+		u.URL = "http://" + address
 		f.Declarations.Upstreams[u.ID] = settings.Upstream{Service: service, DataCentre: "kano", Side: u.Peer}
-		units = append(units, u)
+		upstreams = append(upstreams, u)
 	}
-	return units, nil
+	return upstreams, nil
 }
 
-// baseDeclarations returns profiles like those of a first user.
+// baseDeclarations returns the declarations of a small deployment, without upstreams.
 func baseDeclarations() *settings.Declarations {
 	return &settings.Declarations{
 		Profiles: map[settings.ProfileName]settings.Profile{
@@ -233,34 +244,34 @@
 
 func (f *Fleet) planRouters(context.Context) error {
 	for i := range f.Options.Routers {
-		e := &Entry{}
+		r := &Router{}
 		var caller string
-		if err := addresses(&caller, &e.Peer, &e.Operator); err != nil {
+		if err := assignAddresses(&caller, &r.Peer, &r.Operator); err != nil {
 			return err
 		}
-		e.URL = "http://" + caller
-		e.cfg = settings.Router{
+		r.URL = "http://" + caller
+		r.cfg = settings.Router{
 			ID:         fmt.Sprintf("router-%02d", i+1),
 			DataCentre: "kano",
 			Caller:     caller,
-			Operator:   e.Operator,
-			Peer:       e.Peer,
+			Operator:   r.Operator,
+			Peer:       r.Peer,
 			NoticeTime: f.Options.NoticeTime,
 			DrainTime:  f.Options.DrainTime,
 		}
-		e.Process = f.process(e.cfg.ID, "router", "http://"+e.Operator+"/readyz")
-		e.args = []string{"--config", f.settingsFile(e.cfg.ID)}
-		f.Routers = append(f.Routers, e)
+		r.Process = f.newProcess(r.cfg.ID, "router", "http://"+r.Operator+"/readyz")
+		r.args = []string{"--config", f.settingsPath(r.cfg.ID)}
+		f.Routers = append(f.Routers, r)
 	}
 	return nil
 }
 
-func (f *Fleet) process(name, program, ready string) *Process {
-	return &Process{Name: name, path: filepath.Join(f.Options.Bin, program), Ready: ready}
+func (f *Fleet) newProcess(name, program, ready string) *Process {
+	return &Process{Name: name, path: filepath.Join(f.Options.BinDir, program), ReadyURL: ready}
 }
 
-func (f *Fleet) settingsFile(name string) string {
-	return filepath.Join(f.Options.Dir, name+".yaml")
+func (f *Fleet) settingsPath(name string) string {
+	return filepath.Join(f.Options.SettingsDir, name+".yaml")
 }
 
 func (f *Fleet) writeSettings(name string, cfg any) error {
@@ -268,21 +279,21 @@
 	if err != nil {
 		return errors.Wrapf(err, "encoding the settings of %s", name)
 	}
-	return errors.Wrap(os.WriteFile(f.settingsFile(name), text, 0o600), "writing settings")
+	return errors.Wrap(os.WriteFile(f.settingsPath(name), text, 0o600), "writing settings")
 }
 
 func (f *Fleet) startPlatform(ctx context.Context) error {
 	var config, list string
-	if err := addresses(&config, &list); err != nil {
+	if err := assignAddresses(&config, &list); err != nil {
 		return err
 	}
 	f.ConfigURL = "http://" + config
 	f.VMListURL = "http://" + list
-	f.Configuration = f.process("configuration", "standin", f.ConfigURL+"/reads")
+	f.Configuration = f.newProcess("configuration", "standin", f.ConfigURL+"/reads")
 	f.Configuration.args = []string{"configuration", "--listen", config}
-	f.VMList = f.process("vm-list", "standin", f.VMListURL+"/v1/vms")
+	f.VMList = f.newProcess("vm-list", "standin", f.VMListURL+"/v1/vms")
 	f.VMList.args = []string{"vm-list", "--listen", list, "--lag", "500ms"}
-	if err := f.run(ctx, f.Configuration, f.VMList); err != nil {
+	if err := f.startAll(ctx, f.Configuration, f.VMList); err != nil {
 		return err
 	}
 	docs, err := f.Declarations.Documents()
@@ -295,15 +306,15 @@
 	return f.SetVMs(ctx, f.LiveVMs())
 }
 
-// run starts processes together and waits for all of them.
-func (f *Fleet) run(ctx context.Context, list ...*Process) error {
-	for _, p := range list {
+// startAll launches processes and waits until all of them are ready.
+func (f *Fleet) startAll(ctx context.Context, processes ...*Process) error {
+	for _, p := range processes {
 		if err := p.Launch(); err != nil {
 			return err
 		}
 		f.started = append(f.started, p)
 	}
-	for _, p := range list {
+	for _, p := range processes {
 		if err := p.WaitReady(ctx); err != nil {
 			return err
 		}
@@ -316,41 +327,41 @@
 	if rate == 0 {
 		rate = 200
 	}
-	var list []*Process
+	var processes []*Process
 	for _, u := range f.Engines {
-		u.Upstream = f.process(string(u.ID)+"-engine", "standin", u.URL+"/counts")
-		u.Upstream.args = []string{"engine", "--listen", u.URL[len("http://"):], "--decode-rate", fmt.Sprint(rate)}
-		list = append(list, u.Upstream)
+		u.Process = f.newProcess(string(u.ID)+"-engine", "standin", u.URL+"/counts")
+		u.Process.args = []string{"engine", "--listen", u.URL[len("http://"):], "--decode-rate", fmt.Sprint(rate)}
+		processes = append(processes, u.Process)
 	}
-	for _, u := range f.Plains {
-		u.Upstream = f.process(string(u.ID)+"-service", "standin", u.URL+"/runs")
-		u.Upstream.args = []string{"plain", "--listen", u.URL[len("http://"):], "--name", string(u.ID)}
-		list = append(list, u.Upstream)
+	for _, u := range f.PlainServices {
+		u.Process = f.newProcess(string(u.ID)+"-service", "standin", u.URL+"/runs")
+		u.Process.args = []string{"plain", "--listen", u.URL[len("http://"):], "--name", string(u.ID)}
+		processes = append(processes, u.Process)
 	}
-	return f.run(ctx, list...)
+	return f.startAll(ctx, processes...)
 }
 
 func (f *Fleet) startRouters(context.Context) error {
-	for _, e := range f.Routers {
-		e.cfg.Configuration = f.ConfigURL
-		e.cfg.VMList = f.VMListURL
-		if err := f.writeSettings(e.Name, e.cfg); err != nil {
+	for _, r := range f.Routers {
+		r.cfg.Configuration = f.ConfigURL
+		r.cfg.VMList = f.VMListURL
+		if err := f.writeSettings(r.Name, r.cfg); err != nil {
 			return err
 		}
-		if err := e.Launch(); err != nil {
+		if err := r.Launch(); err != nil {
 			return err
 		}
-		f.started = append(f.started, e.Process)
+		f.started = append(f.started, r.Process)
 	}
 	return nil
 }
 
 func (f *Fleet) startSides(context.Context) error {
 	var seeds []string
-	for _, e := range f.Routers {
-		seeds = append(seeds, e.Peer)
+	for _, r := range f.Routers {
+		seeds = append(seeds, r.Peer)
 	}
-	for _, u := range f.Units() {
+	for _, u := range f.Upstreams() {
 		cfg := settings.Side{
 			Upstream:   u.ID,
 			DataCentre: "kano",
@@ -361,8 +372,8 @@
 			DrainTime:  f.Options.DrainTime,
 		}
 		name := string(u.ID)
-		u.Side = f.process(name, "side", "http://"+u.Operator+"/readyz")
-		u.Side.args = []string{"--config", f.settingsFile(name)}
+		u.Side = f.newProcess(name, "side", "http://"+u.Operator+"/readyz")
+		u.Side.args = []string{"--config", f.settingsPath(name)}
 		if err := f.writeSettings(name, cfg); err != nil {
 			return err
 		}
@@ -374,7 +385,7 @@
 	return nil
 }
 
-func (f *Fleet) waitReady(ctx context.Context) error {
+func (f *Fleet) waitAllReady(ctx context.Context) error {
 	for _, p := range f.started {
 		if err := p.WaitReady(ctx); err != nil {
 			return err
@@ -383,51 +394,51 @@
 	return nil
 }
 
-// StartRelay starts a naive relay before the engines and returns it with its base URL.
+// StartRelay starts a relay that passes requests to the engines in turn, and returns it with its base URL.
 func (f *Fleet) StartRelay(ctx context.Context) (*Process, string, error) {
 	var address string
-	if err := addresses(&address); err != nil {
+	if err := assignAddresses(&address); err != nil {
 		return nil, "", err
 	}
 	url := "http://" + address
-	p := f.process("relay", "standin", url+"/counts")
+	p := f.newProcess("relay", "standin", url+"/counts")
 	p.args = []string{"relay", "--listen", address}
 	for _, u := range f.Engines {
 		p.args = append(p.args, "--targets", u.URL)
 	}
-	return p, url, f.run(ctx, p)
+	return p, url, f.startAll(ctx, p)
 }
 
-// Units returns every upstream.
-func (f *Fleet) Units() []*Unit {
-	return append(append([]*Unit{}, f.Engines...), f.Plains...)
+// Upstreams returns the engines and the plain services.
+func (f *Fleet) Upstreams() []*Upstream {
+	return append(append([]*Upstream{}, f.Engines...), f.PlainServices...)
 }
 
-// LiveVMs returns the VM list in which everything is live.
+// LiveVMs returns a VM list with every router and side in the live state.
 func (f *Fleet) LiveVMs() []configuration.VM {
 	var vms []configuration.VM
-	for _, e := range f.Routers {
-		vms = append(vms, configuration.VM{Address: e.Peer, Role: configuration.RoleRouter, State: configuration.VMLive})
+	for _, r := range f.Routers {
+		vms = append(vms, configuration.VM{Address: r.Peer, Role: configuration.RoleRouter, State: configuration.VMLive})
 	}
-	for _, u := range f.Units() {
+	for _, u := range f.Upstreams() {
 		vms = append(vms, configuration.VM{Address: u.Peer, Role: "upstream", State: configuration.VMLive})
 	}
 	return vms
 }
 
-// Publish puts documents in force at the configuration service.
+// Publish publishes documents as the next revision of the configuration service.
 func (f *Fleet) Publish(ctx context.Context, docs ...settings.Document) (settings.Revision, error) {
 	var r settings.Revision
 	err := Post(ctx, f.ConfigURL+"/publish", docs, &r)
 	return r, err
 }
 
-// SetVMs replaces the VM list.
+// SetVMs replaces the list of the VM list service.
 func (f *Fleet) SetVMs(ctx context.Context, vms []configuration.VM) error {
 	return Post(ctx, f.VMListURL+"/set", configuration.VMs{VMs: vms}, nil)
 }
 
-// Post sends a JSON body and decodes the answer into out unless that is nil.
+// Post sends a JSON body and decodes the response into out, unless out is nil.
 func Post(ctx context.Context, url string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -437,29 +448,29 @@
 	if err != nil {
 		return errors.Wrap(err, "building a request")
 	}
-	return do(req, out)
+	return doJSON(req, out)
 }
 
-// Get decodes the JSON answer of a URL into out.
+// Get decodes the JSON response of a URL into out.
 func Get(ctx context.Context, url string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return errors.Wrap(err, "building a request")
 	}
-	return do(req, out)
+	return doJSON(req, out)
 }
 
-func do(req *http.Request, out any) error {
+func doJSON(req *http.Request, out any) error {
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return errors.Wrap(err, "sending a request")
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return errors.Newf("%s answered %d", req.URL, res.StatusCode)
+		return errors.Newf("%s responded with status %d", req.URL, res.StatusCode)
 	}
 	if out == nil {
 		return nil
 	}
-	return errors.Wrap(json.NewDecoder(res.Body).Decode(out), "decoding an answer")
+	return errors.Wrap(json.NewDecoder(res.Body).Decode(out), "decoding a response")
 }
--- a/standin/internal/fleet/load.go
+++ b/standin/internal/fleet/load.go
@@ -9,32 +9,34 @@
 	"time"
 )
 
-// Load is a bounded stream of requests from concurrent callers.
+// Load generates requests from concurrent callers.
 type Load struct {
-	// Callers is the number of callers, each with one request open at a time.
+	// Callers is the number of callers, each with one open request at a time.
 	Callers int
-	// URLs are the routers, used in turn; a caller leaves a router that is not ready, as the balancer would.
+	// URLs returns the base URLs of the routers, at least one. The callers are divided among them before each request, so a
+	// router that is no longer listed gets no more requests, as behind a load balancer.
 	URLs func() []string
-	// Request makes the n-th request.
-	Request func(ctx context.Context, c *Client, n int64) (Answer, error)
+	// Request sends the n-th request.
+	Request func(ctx context.Context, c *Client, n int64) (Response, error)
 
-	sent atomic.Int64
-	mu   sync.Mutex
-	bad  []string
+	sent     atomic.Int64
+	mu       sync.Mutex
+	failures []string
 }
 
-// maxBad bounds the failures that are kept in words.
-const maxBad = 20
+// maxRecordedFailures bounds the failures whose description is kept.
+const maxRecordedFailures = 20
 
-// Tally is what became of a load.
-type Tally struct {
+// LoadResult counts the requests of a load.
+type LoadResult struct {
 	Sent   int64
 	Failed int64
-	Words  []string
+	// Failures describes the first failed requests.
+	Failures []string
 }
 
-// Run sends requests until ctx ends and returns what became of them.
-func (l *Load) Run(ctx context.Context) Tally {
+// Run sends requests until ctx ends, waits for the open ones and returns their counts.
+func (l *Load) Run(ctx context.Context) LoadResult {
 	var failed atomic.Int64
 	var wg sync.WaitGroup
 	for i := range l.Callers {
@@ -47,46 +49,47 @@
 				urls := l.URLs()
 				c.URL = urls[i%len(urls)]
 				n := l.sent.Add(1)
-				// A request that was begun is waited for, also when the load ends.
-				a, err := l.Request(context.WithoutCancel(ctx), c, n)
-				if err == nil && a.Status == http.StatusOK && a.Whole {
+				// The end of the load does not cancel a request that has been sent.
+				response, err := l.Request(context.WithoutCancel(ctx), c, n)
+				if err == nil && response.Status == http.StatusOK && response.Complete {
 					continue
 				}
 				failed.Add(1)
-				l.note(fmt.Sprintf("request %d at %s: %v %+v", n, c.URL, err, a))
+				l.recordFailure(fmt.Sprintf("request %d at %s: %v %+v", n, c.URL, err, response))
 			}
 		}()
 	}
 	wg.Wait()
-	return Tally{Sent: l.sent.Load(), Failed: failed.Load(), Words: l.bad}
+	return LoadResult{Sent: l.sent.Load(), Failed: failed.Load(), Failures: l.failures}
 }
 
-func (l *Load) note(text string) {
+func (l *Load) recordFailure(text string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.bad) < maxBad {
-		l.bad = append(l.bad, text)
+	if len(l.failures) < maxRecordedFailures {
+		l.failures = append(l.failures, text)
 	}
 }
 
-// ReadyURLs returns the routers that report ready, asked at most every poll.
-func (f *Fleet) ReadyURLs(ctx context.Context, poll time.Duration) func() []string {
+// ReadyURLs returns a function that lists the base URLs of the ready routers. It polls them once per pollInterval at most,
+// and keeps its last list while no router is ready.
+func (f *Fleet) ReadyURLs(ctx context.Context, pollInterval time.Duration) func() []string {
 	var mu sync.Mutex
 	var urls []string
-	var asked time.Time
+	var polledAt time.Time
 	return func() []string {
 		mu.Lock()
 		defer mu.Unlock()
-		if len(urls) > 0 && time.Since(asked) < poll {
+		if len(urls) > 0 && time.Since(polledAt) < pollInterval {
 			return urls
 		}
 		var ready []string
-		for _, e := range f.Routers {
-			if e.isReady(ctx) {
-				ready = append(ready, e.URL)
+		for _, r := range f.Routers {
+			if r.isReady(ctx) {
+				ready = append(ready, r.URL)
 			}
 		}
-		asked = time.Now()
+		polledAt = time.Now()
 		if len(ready) > 0 {
 			urls = ready
 		}
--- a/standin/internal/fleet/path_test.go
+++ b/standin/internal/fleet/path_test.go
@@ -15,7 +15,7 @@
 	"rattantrack.dev/core/settings"
 )
 
-// binDir holds the programs under test, built once.
+// binDir is the directory of the programs under test, which TestMain builds.
 var binDir string
 
 func TestMain(m *testing.M) {
@@ -41,11 +41,11 @@
 	return m.Run()
 }
 
-// start starts a fleet that is stopped cleanly when the test ends.
+// start starts a fleet and stops it when the test ends. The test fails unless every process ends cleanly.
 func start(t *testing.T, o Options) *Fleet {
 	t.Helper()
-	o.Bin = binDir
-	o.Dir = t.TempDir()
+	o.BinDir = binDir
+	o.SettingsDir = t.TempDir()
 	if o.DrainTime == 0 {
 		o.DrainTime = 10 * time.Second
 	}
@@ -57,7 +57,7 @@
 	t.Cleanup(func() {
 		if t.Failed() {
 			for _, p := range f.started {
-				t.Logf("%s:\n%s", p.Name, tail(p.Log()))
+				t.Logf("%s:\n%s", p.Name, logTail(p.Log()))
 			}
 		}
 		qt.Check(t, f.Stop(), qt.IsNil)
@@ -65,11 +65,11 @@
 	return f
 }
 
-const tailBytes = 3000
+const logTailBytes = 3000
 
-func tail(text string) string {
-	if len(text) > tailBytes {
-		return text[len(text)-tailBytes:]
+func logTail(text string) string {
+	if len(text) > logTailBytes {
+		return text[len(text)-logTailBytes:]
 	}
 	return text
 }
@@ -86,60 +86,60 @@
 	return ctx
 }
 
-func question(text string) ChatRequest {
+func chatRequest(text string) ChatRequest {
 	return ChatRequest{Model: "answer", Stream: true, Messages: []Message{{Role: "user", Content: text}}}
 }
 
-func TestChatReturnsToItsPrefixThroughEitherRouter(t *testing.T) {
+func TestChatReturnsToItsCachedPrefixThroughEitherRouter(t *testing.T) {
 	c := qt.New(t)
 	ctx := testContext(t)
 	f := start(t, Options{Routers: 2, Engines: 3})
-	q := question("Which bus goes to the museum on Friday, and may my daughter take her own lunch with her?")
-	served := ""
+	req := chatRequest("Which bus goes to the museum on Friday, and may my daughter take her own lunch with her?")
+	upstream := ""
 	for turn := range 4 {
-		a, err := client(t, f.Routers[turn%2].URL).Chat(ctx, q)
+		res, err := client(t, f.Routers[turn%2].URL).Chat(ctx, req)
 		c.Assert(err, qt.IsNil)
-		c.Assert(a.Status, qt.Equals, http.StatusOK, qt.Commentf("%+v", a))
-		c.Assert(a.Whole, qt.IsTrue)
-		c.Assert(a.Tokens, qt.Equals, 24)
+		c.Assert(res.Status, qt.Equals, http.StatusOK, qt.Commentf("%+v", res))
+		c.Assert(res.Complete, qt.IsTrue)
+		c.Assert(res.Tokens, qt.Equals, 24)
 		if turn > 0 {
-			c.Assert(a.Upstream, qt.Equals, served)
-			c.Assert(a.Cached > 0, qt.IsTrue)
+			c.Assert(res.Upstream, qt.Equals, upstream)
+			c.Assert(res.CachedTokens > 0, qt.IsTrue)
 		}
-		served = a.Upstream
-		q.Messages = append(q.Messages, Message{Role: "assistant", Content: a.Text}, Message{Role: "user", Content: "And then?"})
+		upstream = res.Upstream
+		req.Messages = append(req.Messages, Message{Role: "assistant", Content: res.Text}, Message{Role: "user", Content: "And then?"})
 	}
 }
 
-func TestWholeBodyChatAndPlainCall(t *testing.T) {
+func TestNonStreamedChatAndPlainCall(t *testing.T) {
 	c := qt.New(t)
 	ctx := testContext(t)
-	f := start(t, Options{Routers: 1, Engines: 1, Plains: 2})
+	f := start(t, Options{Routers: 1, Engines: 1, PlainServices: 2})
 	cl := client(t, f.Routers[0].URL)
-	q := question("Is the trip on?")
-	q.Stream = false
-	a, err := cl.Chat(ctx, q)
+	req := chatRequest("Is the trip on?")
+	req.Stream = false
+	res, err := cl.Chat(ctx, req)
 	c.Assert(err, qt.IsNil)
-	c.Assert(a.Status, qt.Equals, http.StatusOK, qt.Commentf("%+v", a))
-	c.Assert(a.Text, qt.Contains, `"finish_reason":"stop"`)
+	c.Assert(res.Status, qt.Equals, http.StatusOK, qt.Commentf("%+v", res))
+	c.Assert(res.Text, qt.Contains, `"finish_reason":"stop"`)
 
-	a, err = cl.Plain(ctx, http.MethodGet, "status", "/trips/7?full=1", "", nil)
+	res, err = cl.CallPlain(ctx, http.MethodGet, "status", "/trips/7?full=1", "", nil)
 	c.Assert(err, qt.IsNil)
-	c.Assert(a.Status, qt.Equals, http.StatusOK, qt.Commentf("%+v", a))
+	c.Assert(res.Status, qt.Equals, http.StatusOK, qt.Commentf("%+v", res))
 }
 
-func TestMistakesAreAnsweredWithOutcomeAndCode(t *testing.T) {
+func TestInvalidRequestsGetOutcomeAndCode(t *testing.T) {
 	c := qt.New(t)
 	ctx := testContext(t)
-	f := start(t, Options{Routers: 1, Engines: 1, Plains: 1})
+	f := start(t, Options{Routers: 1, Engines: 1, PlainServices: 1})
 	cl := client(t, f.Routers[0].URL)
-	q := question("x")
-	q.Model = "nobody"
-	a, err := cl.Chat(ctx, q)
+	req := chatRequest("x")
+	req.Model = "nobody"
+	res, err := cl.Chat(ctx, req)
 	c.Assert(err, qt.IsNil)
-	c.Assert([]any{a.Status, a.Code, a.Outcome}, qt.DeepEquals, []any{http.StatusNotFound, "unknown_profile", "not_run"})
+	c.Assert([]any{res.Status, res.Code, res.Outcome}, qt.DeepEquals, []any{http.StatusNotFound, "unknown_profile", "not_run"})
 	cl.Team = settings.TeamID("strangers")
-	a, err = cl.Chat(ctx, question("x"))
+	res, err = cl.Chat(ctx, chatRequest("x"))
 	c.Assert(err, qt.IsNil)
-	c.Assert([]any{a.Status, a.Code}, qt.DeepEquals, []any{http.StatusForbidden, "unknown_team"})
+	c.Assert([]any{res.Status, res.Code}, qt.DeepEquals, []any{http.StatusForbidden, "unknown_team"})
 }
--- a/standin/internal/fleet/process.go
+++ b/standin/internal/fleet/process.go
@@ -15,18 +15,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Times of starting and stopping processes.
+// Timeouts of starting and stopping a process.
 const (
-	readyLimit = 20 * time.Second
-	readyPoll  = 20 * time.Millisecond
-	stopLimit  = 40 * time.Second
+	readyTimeout      = 20 * time.Second
+	readyPollInterval = 20 * time.Millisecond
+	stopTimeout       = 40 * time.Second
 )
 
-// Process is one process of the fleet.
+// Process is one process of the fleet, which can be restarted.
 type Process struct {
 	Name string
-	// Ready is the URL that answers 200 once the process can be used.
-	Ready string
+	// ReadyURL is the URL that responds with status 200 once the process is ready.
+	ReadyURL string
 
 	path string
 	args []string
@@ -46,12 +46,12 @@
 	return p.WaitReady(ctx)
 }
 
-// Launch starts the process and does not wait for it.
+// Launch starts the process without waiting until it is ready.
 func (p *Process) Launch() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	cmd := exec.Command(p.path, p.args...)
-	cmd.Stdout, cmd.Stderr = &lockedWriter{p: p}, &lockedWriter{p: p}
+	cmd.Stdout, cmd.Stderr = &logWriter{p: p}, &logWriter{p: p}
 	if err := cmd.Start(); err != nil {
 		return errors.Wrapf(err, "starting %s", p.Name)
 	}
@@ -68,27 +68,27 @@
 	return nil
 }
 
-// lockedWriter keeps a process's log.
-type lockedWriter struct {
+// logWriter appends the output of a process to its log.
+type logWriter struct {
 	p *Process
 }
 
-func (w *lockedWriter) Write(b []byte) (int, error) {
+func (w *logWriter) Write(b []byte) (int, error) {
 	w.p.mu.Lock()
 	defer w.p.mu.Unlock()
 	return w.p.log.Write(b)
 }
 
-// Log returns what the process has logged.
+// Log returns the output of the process so far, including that of earlier starts.
 func (p *Process) Log() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
 }
 
-// WaitReady waits until the process answers that it is ready.
+// WaitReady waits until the process reports that it is ready.
 func (p *Process) WaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyLimit)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
 		if p.isReady(ctx) {
@@ -99,13 +99,13 @@
 			return errors.Newf("%s is not ready: %s", p.Name, p.Log())
 		case <-p.done:
 			return errors.Newf("%s ended: %s", p.Name, p.Log())
-		case <-time.After(readyPoll):
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
 func (p *Process) isReady(ctx context.Context) bool {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, p.Ready, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, p.ReadyURL, nil)
 	if err != nil {
 		return false
 	}
@@ -124,7 +124,7 @@
 	return p.cmd.Process.Signal(sig)
 }
 
-// Pause stops the process as SIGSTOP does, and waits until the kernel has done so.
+// Pause sends SIGSTOP and waits until the kernel has stopped the process.
 func (p *Process) Pause(ctx context.Context) error {
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return errors.Wrapf(err, "pausing %s", p.Name)
@@ -132,7 +132,7 @@
 	for {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID()))
 		if err != nil {
-			return errors.Wrapf(err, "looking at %s", p.Name)
+			return errors.Wrapf(err, "reading the state of %s", p.Name)
 		}
 		if strings.Contains(string(stat), ") T ") {
 			return nil
@@ -145,17 +145,18 @@
 	}
 }
 
-// Resume lets a paused process go on.
+// Resume continues a paused process.
 func (p *Process) Resume() error { return p.Signal(syscall.SIGCONT) }
 
-// PID returns the id of the process.
+// PID returns the process id.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd.Process.Pid
 }
 
-// Stop asks the process to stop and waits for its clean end.
+// Stop sends SIGTERM and waits until the process has ended. It returns an error unless the process exits with code 0 in
+// time; a process that takes longer is killed.
 func (p *Process) Stop() error {
 	_ = p.Signal(syscall.SIGCONT)
 	if err := p.Signal(syscall.SIGTERM); err != nil && !errors.Is(err, os.ErrProcessDone) {
@@ -163,7 +164,7 @@
 	}
 	select {
 	case <-p.done:
-	case <-time.After(stopLimit):
+	case <-time.After(stopTimeout):
 		_ = p.Kill()
 		return errors.Newf("%s did not stop", p.Name)
 	}
@@ -172,14 +173,14 @@
 	return errors.Wrapf(p.err, "%s ended", p.Name)
 }
 
-// Kill ends the process at once.
+// Kill sends SIGKILL and waits until the process has ended.
 func (p *Process) Kill() error {
 	err := p.Signal(syscall.SIGKILL)
 	<-p.done
 	return err
 }
 
-// Restart stops the process politely and starts it again.
+// Restart stops the process cleanly and starts it again.
 func (p *Process) Restart(ctx context.Context) error {
 	if err := p.Stop(); err != nil {
 		return err
--- a/standin/internal/fleet/stop_test.go
+++ b/standin/internal/fleet/stop_test.go
@@ -15,74 +15,74 @@
 	"rattantrack.dev/standin/internal/engine"
 )
 
-// balancerPoll is how often the test's balancer asks who is ready.
-const balancerPoll = 100 * time.Millisecond
+// balancerPollInterval is how often the simulated load balancer polls the readiness of the routers.
+const balancerPollInterval = 100 * time.Millisecond
 
-// mixed sends chats, status checks and debits in turn.
-func mixed(ctx context.Context, c *Client, n int64) (Answer, error) {
+// mixedRequest sends a chat, a status check or a debit, in turn.
+func mixedRequest(ctx context.Context, c *Client, n int64) (Response, error) {
 	switch n % 3 {
 	case 0:
-		return c.Chat(ctx, question(fmt.Sprintf("chat %d", n%40)))
+		return c.Chat(ctx, chatRequest(fmt.Sprintf("chat %d", n%40)))
 	case 1:
-		return c.Plain(ctx, http.MethodGet, "status", "/trips", "", nil)
+		return c.CallPlain(ctx, http.MethodGet, "status", "/trips", "", nil)
 	}
-	return c.Plain(ctx, http.MethodPost, "debit", "/fees", fmt.Sprintf("fee %d", n), nil)
+	return c.CallPlain(ctx, http.MethodPost, "debit", "/fees", fmt.Sprintf("fee %d", n), nil)
 }
 
-func TestRollingRestartOfEverythingFailsNoRequest(t *testing.T) {
+func TestRollingRestartFailsNoRequests(t *testing.T) {
 	c := qt.New(t)
 	ctx := testContext(t)
-	f := start(t, Options{Routers: 3, Engines: 3, Plains: 3, DecodeRate: 100, NoticeTime: time.Second})
+	f := start(t, Options{Routers: 3, Engines: 3, PlainServices: 3, DecodeRate: 100, NoticeTime: time.Second})
 	loadCtx, stopLoad := context.WithCancel(ctx)
-	l := &Load{Callers: 24, URLs: f.ReadyURLs(ctx, balancerPoll), Request: mixed}
-	tally := make(chan Tally, 1)
-	go func() { tally <- l.Run(loadCtx) }()
+	l := &Load{Callers: 24, URLs: f.ReadyURLs(ctx, balancerPollInterval), Request: mixedRequest}
+	result := make(chan LoadResult, 1)
+	go func() { result <- l.Run(loadCtx) }()
 	time.Sleep(500 * time.Millisecond)
-	for _, u := range f.Units() {
+	for _, u := range f.Upstreams() {
 		c.Assert(u.Side.Restart(ctx), qt.IsNil)
 		time.Sleep(300 * time.Millisecond)
 	}
-	for _, e := range f.Routers {
-		c.Assert(e.Restart(ctx), qt.IsNil)
+	for _, r := range f.Routers {
+		c.Assert(r.Restart(ctx), qt.IsNil)
 		time.Sleep(300 * time.Millisecond)
 	}
 	stopLoad()
-	got := <-tally
-	c.Assert(got.Failed, qt.Equals, int64(0), qt.Commentf("%d sent\n%v", got.Sent, got.Words))
+	got := <-result
+	c.Assert(got.Failed, qt.Equals, int64(0), qt.Commentf("%d sent\n%v", got.Sent, got.Failures))
 	c.Assert(got.Sent > 500, qt.IsTrue, qt.Commentf("%d sent", got.Sent))
 }
 
-func TestStoppedRouterFinishesWhatItHas(t *testing.T) {
+func TestStoppedRouterFinishesOpenRequests(t *testing.T) {
 	c := qt.New(t)
 	ctx := testContext(t)
 	f := start(t, Options{Routers: 1, Engines: 2, DecodeRate: 30})
-	q := question("A long letter")
-	q.MaxTokens = 60
-	result := make(chan Answer, 1)
+	req := chatRequest("A long letter")
+	req.MaxTokens = 60
+	result := make(chan Response, 1)
 	go func() {
-		a, err := client(t, f.Routers[0].URL).Chat(ctx, q)
+		res, err := client(t, f.Routers[0].URL).Chat(ctx, req)
 		qt.Check(t, err, qt.IsNil)
-		result <- a
+		result <- res
 	}()
 	time.Sleep(500 * time.Millisecond)
 	c.Assert(f.Routers[0].Signal(syscall.SIGTERM), qt.IsNil)
 	time.Sleep(100 * time.Millisecond)
 	c.Assert(f.Routers[0].isReady(ctx), qt.IsFalse)
-	a := <-result
-	c.Assert(a.Whole, qt.IsTrue, qt.Commentf("%+v", a))
-	c.Assert(a.Tokens, qt.Equals, 60)
+	res := <-result
+	c.Assert(res.Complete, qt.IsTrue, qt.Commentf("%+v", res))
+	c.Assert(res.Tokens, qt.Equals, 60)
 }
 
-// started returns how many chats an engine has begun.
-func started(ctx context.Context, t *testing.T, u *Unit) int64 {
+// startedChats returns the number of chats that an engine has started.
+func startedChats(ctx context.Context, t *testing.T, u *Upstream) int64 {
 	t.Helper()
-	var n engine.Counts
-	qt.Assert(t, Get(ctx, u.URL+"/counts", &n), qt.IsNil)
-	return n.Started
+	var counts engine.Counts
+	qt.Assert(t, Get(ctx, u.URL+"/counts", &counts), qt.IsNil)
+	return counts.Started
 }
 
-// leavingLimit is the brief's bound on new work at a leaving upstream.
-const leavingLimit = 3 * time.Second
+// leavingTimeout bounds the time in which an upstream that is listed as leaving may still get new work.
+const leavingTimeout = 3 * time.Second
 
 func TestUpstreamListedAsLeavingGetsNoNewWork(t *testing.T) {
 	c := qt.New(t)
@@ -90,13 +90,17 @@
 	f := start(t, Options{Routers: 2, Engines: 3, DecodeRate: 400})
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
-	l := &Load{Callers: 8, URLs: f.ReadyURLs(ctx, balancerPoll), Request: func(ctx context.Context, cl *Client, n int64) (Answer, error) {
-		return cl.Chat(ctx, question(fmt.Sprintf("chat %d", n%60)))
-	}}
-	tally := make(chan Tally, 1)
-	go func() { tally <- l.Run(loadCtx) }()
+	l := &Load{
+		Callers: 8,
+		URLs:    f.ReadyURLs(ctx, balancerPollInterval),
+		Request: func(ctx context.Context, cl *Client, n int64) (Response, error) {
+			return cl.Chat(ctx, chatRequest(fmt.Sprintf("chat %d", n%60)))
+		},
+	}
+	result := make(chan LoadResult, 1)
+	go func() { result <- l.Run(loadCtx) }()
 	time.Sleep(time.Second)
-	// One router sleeps through the news and must not trust its old view when it wakes.
+	// One router is paused while the list changes, and must not act on its stale list when it resumes.
 	c.Assert(f.Routers[1].Pause(ctx), qt.IsNil)
 	vms := f.LiveVMs()
 	leaving := f.Engines[0]
@@ -106,48 +110,50 @@
 		}
 	}
 	c.Assert(f.SetVMs(ctx, vms), qt.IsNil)
-	time.Sleep(leavingLimit)
-	before := started(ctx, t, leaving)
+	time.Sleep(leavingTimeout)
+	before := startedChats(ctx, t, leaving)
 	c.Assert(f.Routers[1].Resume(), qt.IsNil)
 	time.Sleep(2 * time.Second)
-	c.Assert(started(ctx, t, leaving), qt.Equals, before)
+	c.Assert(startedChats(ctx, t, leaving), qt.Equals, before)
 	stopLoad()
-	got := <-tally
-	c.Assert(got.Failed, qt.Equals, int64(0), qt.Commentf("%v", got.Words))
+	got := <-result
+	c.Assert(got.Failed, qt.Equals, int64(0), qt.Commentf("%v", got.Failures))
 }
 
-func TestSideThatLeavesGetsNoNewWork(t *testing.T) {
+func TestStoppingSideGetsNoNewWork(t *testing.T) {
 	c := qt.New(t)
 	ctx := testContext(t)
 	f := start(t, Options{Routers: 2, Engines: 3, DecodeRate: 30})
-	long := question("A long letter")
+	long := chatRequest("A long letter")
 	long.MaxTokens = 90
-	result := make(chan Answer, 1)
+	result := make(chan Response, 1)
 	go func() {
-		a, err := client(t, f.Routers[0].URL).Chat(ctx, long)
+		res, err := client(t, f.Routers[0].URL).Chat(ctx, long)
 		qt.Check(t, err, qt.IsNil)
-		result <- a
+		result <- res
 	}()
 	time.Sleep(500 * time.Millisecond)
-	// The side stays until the long answer is whole.
-	leaving := busy(ctx, t, f)
+	// The side runs until the long answer is complete.
+	leaving := busyEngine(ctx, t, f)
 	c.Assert(leaving.Side.Signal(syscall.SIGTERM), qt.IsNil)
 	time.Sleep(200 * time.Millisecond)
-	before := started(ctx, t, leaving)
+	before := startedChats(ctx, t, leaving)
 	for i := range 60 {
-		q := question(fmt.Sprintf("chat %d", i))
-		q.MaxTokens = 1
-		a, err := client(t, f.Routers[i%2].URL).Chat(ctx, q)
+		req := chatRequest(fmt.Sprintf("chat %d", i))
+		req.MaxTokens = 1
+		res, err := client(t, f.Routers[i%2].URL).Chat(ctx, req)
 		c.Assert(err, qt.IsNil)
-		c.Assert(a.Whole, qt.IsTrue, qt.Commentf("%+v", a))
+		c.Assert(res.Complete, qt.IsTrue, qt.Commentf("%+v", res))
 	}
-	c.Assert(started(ctx, t, leaving), qt.Equals, before)
-	a := <-result
-	c.Assert(a.Whole, qt.IsTrue, qt.Commentf("%+v", a))
-	c.Assert(a.Upstream, qt.Equals, string(leaving.ID))
+	c.Assert(startedChats(ctx, t, leaving), qt.Equals, before)
+	res := <-result
+	c.Assert(res.Complete, qt.IsTrue, qt.Commentf("%+v", res))
+	c.Assert(res.Upstream, qt.Equals, string(leaving.ID))
 }
 
-func TestFailureOfTheWholeFleetMultipliesNoLoad(t *testing.T) {
+// TestRetriesStayBoundedWhenAllEnginesFail guards against retries that multiply the load while every engine fails: they may
+// add at most a fifth.
+func TestRetriesStayBoundedWhenAllEnginesFail(t *testing.T) {
 	c := qt.New(t)
 	ctx := testContext(t)
 	f := start(t, Options{Routers: 1, Engines: 3, DecodeRate: 1000})
@@ -157,47 +163,49 @@
 	const calls = 600
 	cl := client(t, f.Routers[0].URL)
 	for i := range calls {
-		a, err := cl.Chat(ctx, question(fmt.Sprintf("chat %d", i)))
+		res, err := cl.Chat(ctx, chatRequest(fmt.Sprintf("chat %d", i)))
 		c.Assert(err, qt.IsNil)
-		c.Assert(a.Whole, qt.IsFalse)
+		c.Assert(res.Complete, qt.IsFalse)
 	}
 	total := int64(0)
 	for _, u := range f.Engines {
-		total += started(ctx, t, u)
+		total += startedChats(ctx, t, u)
 	}
 	c.Assert(float64(total)/calls <= 1.2, qt.IsTrue, qt.Commentf("%d starts for %d calls", total, calls))
 }
 
-func TestGivenUpRequestIsAnsweredAtOnceWithWhenToComeBack(t *testing.T) {
+// TestRefusedRequestGetsRetryAfterAtOnce sends more requests than an upstream may run and queue. The refused ones must fail
+// within a second, with a Retry-After header and without a run.
+func TestRefusedRequestGetsRetryAfterAtOnce(t *testing.T) {
 	c := qt.New(t)
 	ctx := testContext(t)
-	f := start(t, Options{Routers: 1, Engines: 1, DecodeRate: 20, Declare: func(f *settings.Declarations) {
-		s := f.Services[ModelService]
+	f := start(t, Options{Routers: 1, Engines: 1, DecodeRate: 20, EditDeclarations: func(d *settings.Declarations) {
+		s := d.Services[ModelService]
 		s.MaxRunning = 1
 		s.MaxQueued = 1
-		f.Services[ModelService] = s
+		d.Services[ModelService] = s
 	}})
 	cl := client(t, f.Routers[0].URL)
-	refused := make(chan Answer, 12)
-	for i := range cap(refused) {
+	responses := make(chan Response, 12)
+	for i := range cap(responses) {
 		go func() {
-			a, _ := cl.Chat(ctx, question(fmt.Sprintf("chat %d", i)))
-			refused <- a
+			res, _ := cl.Chat(ctx, chatRequest(fmt.Sprintf("chat %d", i)))
+			responses <- res
 		}()
 	}
-	n := 0
-	for range cap(refused) {
-		a := <-refused
-		if a.Status == http.StatusOK {
+	refusals := 0
+	for range cap(responses) {
+		res := <-responses
+		if res.Status == http.StatusOK {
 			continue
 		}
-		n++
-		c.Assert(a.Outcome, qt.Equals, "not_run", qt.Commentf("%+v", a))
-		c.Assert(a.RetryAfter, qt.Not(qt.Equals), "")
-		c.Assert(a.Took < time.Second, qt.IsTrue, qt.Commentf("%+v", a))
+		refusals++
+		c.Assert(res.Outcome, qt.Equals, "not_run", qt.Commentf("%+v", res))
+		c.Assert(res.RetryAfter, qt.Not(qt.Equals), "")
+		c.Assert(res.Duration < time.Second, qt.IsTrue, qt.Commentf("%+v", res))
 	}
-	c.Assert(n > 0, qt.IsTrue)
+	c.Assert(refusals > 0, qt.IsTrue)
 	var counts engine.Counts
 	c.Assert(Get(ctx, f.Engines[0].URL+"/counts", &counts), qt.IsNil)
-	c.Assert(counts.Started, qt.Equals, int64(cap(refused)-n))
+	c.Assert(counts.Started, qt.Equals, int64(cap(responses)-refusals))
 }
--- a/standin/main.go
+++ b/standin/main.go
@@ -1,4 +1,4 @@
-// Command standin runs small stand-ins for what the platform and the upstreams give, for tests and the demo only.
+// Command standin simulates the platform's services and the upstreams for tests, benchmarks and the demo.
 package main
 
 import (
