--- a/router/internal/direct/attempt.go
+++ b/router/internal/direct/attempt.go
@@ -21,14 +21,14 @@
 	// maxBufferedBytes bounds the responses that are read completely before the client gets any of them, so that the
 	// request can still be retried.
 	maxBufferedBytes = 256 << 10
-	// responseTimeoutFactor is how many objectives a repeatable request waits for a response before the attempt is given
-	// up for a retry elsewhere.
+	// responseTimeoutFactor gives the response timeout of a repeatable request as a multiple of its objective. After the
+	// timeout the attempt is given up for a retry elsewhere.
 	responseTimeoutFactor = 2
 	// minResponseTimeout and minStallTimeout are the lower bounds on the wait for a response and for a stream event.
 	minResponseTimeout = 250 * time.Millisecond
 	minStallTimeout    = 1200 * time.Millisecond
-	// stallTimeoutFactor is how many pause objectives a resumable stream may go without an event before the attempt is
-	// given up and the stream resumed elsewhere.
+	// stallTimeoutFactor gives the longest pause between two events of a resumable stream as a multiple of its pause
+	// objective. After it the attempt is given up and the stream resumed elsewhere.
 	stallTimeoutFactor = 4
 )
 
@@ -128,6 +128,7 @@
 	return ex.relayBody(ctx, inst, res)
 }
 
+// misdirected records that the process at the address of an upstream refused the attempt as meant for another one.
 func (ex *exchange) misdirected(inst members.Instance, res *upstream.Response) {
 	// The upstream may send this status for other reasons than a wrong identity, so the directory entry stays until the
 	// platform changes it. This request does not go there again.
@@ -136,7 +137,7 @@
 }
 
 // handleFailure reads a failure response. It relays a client error at once, and keeps a server error in case no retry
-// succeeds.
+// succeeds. A response that reaches maxBufferedBytes counts as broken off.
 func (ex *exchange) handleFailure(ctx context.Context, inst members.Instance, res *upstream.Response) (attempt.Ending, bool) {
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxBufferedBytes))
 	if err != nil || len(body) == maxBufferedBytes {
@@ -170,6 +171,7 @@
 	return false
 }
 
+// interrupted returns the ending of an attempt whose response broke off.
 func (ex *exchange) interrupted(ctx context.Context, inst members.Instance, err error) attempt.Ending {
 	if ctx.Err() != nil {
 		return attempt.ClientGone
@@ -205,6 +207,7 @@
 	return ex.relayRest(ctx, inst, res)
 }
 
+// relayRest relays the part of a body that has not been buffered.
 func (ex *exchange) relayRest(ctx context.Context, inst members.Instance, res *upstream.Response) (attempt.Ending, bool) {
 	buf := make([]byte, 32<<10)
 	for {
--- a/router/internal/direct/dispatch.go
+++ b/router/internal/direct/dispatch.go
@@ -198,8 +198,9 @@
 	return false
 }
 
-// waitLimit returns when a queued request is given up. A response that starts after its objective is late anyway, and the
-// client can make better use of the remaining time.
+// waitLimit returns when a queued request is given up: after its objective or, if the route has none, after a quarter of
+// the remaining time. A response that starts after its objective is late anyway, and the client can make better use of the
+// remaining time.
 func (ex *exchange) waitLimit(start clock.Instant) clock.Instant {
 	limit := ex.RouteConfig.Objective
 	if limit == 0 {
@@ -208,6 +209,7 @@
 	return min(start.Add(limit), ex.Deadline)
 }
 
+// pause waits for d. It returns false if the request has ended.
 func (ex *exchange) pause(ctx context.Context, d time.Duration) bool {
 	if clock.Sleep(ctx, d) {
 		return true
@@ -228,6 +230,7 @@
 	}
 }
 
+// clientGone reports whether the client has disconnected; a passed deadline does not count.
 func clientGone(ctx context.Context) bool { return errors.Is(ctx.Err(), context.Canceled) }
 
 // finish derives the result from the ending of the last attempt.
--- a/router/internal/direct/dispatch_test.go
+++ b/router/internal/direct/dispatch_test.go
@@ -31,7 +31,7 @@
 	"rattantrack.dev/router/internal/upstream"
 )
 
-// testDialect uses header fields that only the tests know.
+// testDialect is a dialect with header fields of its own.
 type testDialect struct{}
 
 func (testDialect) WriteAttempt(h http.Header, a call.Attempt) {
@@ -153,18 +153,18 @@
 
 func (noWarmup) Wait(context.Context, time.Duration) {}
 
-// bench is a dispatcher with its upstreams.
-type bench struct {
+// fixture is a dispatcher with its fake upstreams.
+type fixture struct {
 	*Dispatcher
 	upstreams []*fakeUpstream
 }
 
-// newBench starts one upstream per list of handlers. The first upstream is in the dispatcher's data centre, so it gets the
+// newFixture starts one upstream per list of handlers. The first upstream is in the dispatcher's data centre, so it gets the
 // first attempt.
-func newBench(t *testing.T, upstreams ...[]func(net.Conn, *http.Request) bool) *bench {
+func newFixture(t *testing.T, upstreams ...[]func(net.Conn, *http.Request) bool) *fixture {
 	t.Helper()
 	c := qt.New(t)
-	b := &bench{Dispatcher: &Dispatcher{
+	b := &fixture{Dispatcher: &Dispatcher{
 		DataCentre: "kano", Members: &members.Registry{}, InFlight: &inflight.Tracker{}, Affinity: &affinity.Index{},
 		Outliers: &outlier.Detector{}, Unresponsive: &unresponsive.Detector{}, Queues: &waiting.Queues{},
 		Budget:      &retry.FleetBudget{Limits: retry.Limits{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}},
@@ -192,11 +192,11 @@
 	return b
 }
 
-func (b *bench) do(terms settings.Route, id string) (Result, *memorySink) {
+func (b *fixture) do(route settings.Route, id string) (Result, *memorySink) {
 	now := b.Clock.Now()
-	terms.Timeout = 3 * time.Second
+	route.Timeout = 3 * time.Second
 	r := &Request{
-		Request: call.Request{ID: call.ID(id)}, RouteConfig: terms, Service: "desk", Arrived: now, Deadline: now.Add(terms.Timeout),
+		Request: call.Request{ID: call.ID(id)}, RouteConfig: route, Service: "desk", Arrived: now, Deadline: now.Add(route.Timeout),
 	}
 	r.Outbound = upstream.Request{
 		ID: r.ID, Method: http.MethodGet, URI: "/a/b?c=d", Host: "h.example", Header: http.Header{"Id": {id}},
@@ -218,7 +218,7 @@
 	notRun := respond(503, "", "Not-Run: 1")
 	tests := []struct {
 		name          string
-		terms         settings.Route
+		route         settings.Route
 		first, second handlers
 		outcome       peer.Outcome
 		code          string
@@ -251,8 +251,8 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			b := newBench(t, tt.first, tt.second)
-			res, sink := b.do(tt.terms, "r1")
+			b := newFixture(t, tt.first, tt.second)
+			res, sink := b.do(tt.route, "r1")
 			c.Assert(res.Outcome, qt.Equals, tt.outcome)
 			c.Assert(res.Code, qt.Equals, tt.code)
 			c.Assert(sink.status, qt.Equals, tt.status)
@@ -269,7 +269,7 @@
 // response to the first request when the second request is due.
 func TestResponseToAnotherRequestIsSkipped(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, handlers{
+	b := newFixture(t, handlers{
 		respond(200, "first"),
 		func(conn net.Conn, req *http.Request) bool {
 			writeResponse(conn, "r1", 200, "first again")
@@ -290,7 +290,7 @@
 // so the next request gets a new connection.
 func TestBytesAfterResponseCloseConnection(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, handlers{
+	b := newFixture(t, handlers{
 		func(conn net.Conn, req *http.Request) bool {
 			writeResponse(conn, req.Header.Get("Id"), 200, "first")
 			writeResponse(conn, "", 200, "more")
@@ -308,7 +308,7 @@
 
 func TestRequestWithoutUpstreamIsRefused(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t)
+	b := newFixture(t)
 	res, _ := b.do(once, "r1")
 	c.Assert(res.Outcome, qt.Equals, peer.OutcomeNotRun)
 	c.Assert(res.Code, qt.Equals, CodeNoUpstream)
@@ -317,7 +317,7 @@
 
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, handlers{respond(200, "ok")})
+	b := newFixture(t, handlers{respond(200, "ok")})
 	b.do(once, "r1")
 	req := b.upstreams[0].requests()[0]
 	c.Assert(req.RequestURI, qt.Equals, "/a/b?c=d")
@@ -327,7 +327,7 @@
 
 func TestAttemptCarriesRank(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, handlers{respond(200, "ok")})
+	b := newFixture(t, handlers{respond(200, "ok")})
 	now := b.Clock.Now()
 	r := &Request{
 		Request: call.Request{ID: "r1"}, RouteConfig: once, Service: "desk", Rank: 3, Arrived: now, Deadline: now.Add(time.Second),
@@ -339,14 +339,14 @@
 	c.Assert(b.upstreams[0].requests()[0].Header.Get("Rank"), qt.Equals, "3")
 }
 
-// TestRequestsQueueWhileServiceIsFull sends more requests at once than the upstream may hold. All of them must be served
-// within their objective, without many more open at the upstream than it may hold.
+// TestRequestsQueueWhileServiceIsFull sends more requests at once than placement allows at the upstream. The others must
+// wait in the queue, and all must be served.
 func TestRequestsQueueWhileServiceIsFull(t *testing.T) {
 	c := qt.New(t)
 	const room, all = 8, 24
 	var mu sync.Mutex
 	open, most := 0, 0
-	b := newBench(t, handlers{func(conn net.Conn, req *http.Request) bool {
+	b := newFixture(t, handlers{func(conn net.Conn, req *http.Request) bool {
 		mu.Lock()
 		open++
 		most = max(most, open)
@@ -358,22 +358,22 @@
 		writeResponse(conn, req.Header.Get("Id"), 200, "ok")
 		return true
 	}})
-	terms := once
-	terms.Objective = 2 * time.Second
+	route := once
+	route.Objective = 2 * time.Second
 	var wg sync.WaitGroup
 	results := make([]Result, all)
 	for i := range all {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			results[i], _ = b.do(terms, fmt.Sprintf("r%d", i))
+			results[i], _ = b.do(route, fmt.Sprintf("r%d", i))
 		}()
 	}
 	wg.Wait()
 	for _, res := range results {
 		c.Check(res.Outcome, qt.Equals, peer.OutcomeDone)
 	}
-	// Placement and counting are separate steps, so simultaneous requests may exceed the room by a few.
+	// Placement and counting are separate steps, so simultaneous requests may exceed the allowed number.
 	c.Assert(most <= 2*room, qt.IsTrue, qt.Commentf("%d at once", most))
 }
 
@@ -382,11 +382,11 @@
 func TestFiredStallTimerIsReported(t *testing.T) {
 	c := qt.New(t)
 	fired := make(chan struct{})
-	w := &stallTimer{timer: time.AfterFunc(0, func() { close(fired) })}
+	timer := &stallTimer{timer: time.AfterFunc(0, func() { close(fired) })}
 	<-fired
-	c.Assert(w.stop(), qt.IsTrue)
-	w = &stallTimer{timer: time.AfterFunc(time.Hour, func() {})}
-	c.Assert(w.stop(), qt.IsFalse)
+	c.Assert(timer.stop(), qt.IsTrue)
+	timer = &stallTimer{timer: time.AfterFunc(time.Hour, func() {})}
+	c.Assert(timer.stop(), qt.IsFalse)
 	c.Assert((&stallTimer{}).stop(), qt.IsFalse)
 }
 
@@ -395,7 +395,7 @@
 func TestUnresponsiveUpstreamGetsNoFurtherRequests(t *testing.T) {
 	c := qt.New(t)
 	hold := make(chan struct{})
-	b := newBench(t,
+	b := newFixture(t,
 		handlers{func(net.Conn, *http.Request) bool { <-hold; return false }},
 		handlers{respond(200, "ok")}, handlers{respond(200, "ok")})
 	var wg sync.WaitGroup
