--- a/router/internal/caller/server.go
+++ b/router/internal/caller/server.go
@@ -20,7 +20,7 @@
 	"rattantrack.dev/router/internal/sides"
 )
 
-// Dispatcher runs calls at upstreams and gets tickets from them.
+// Dispatcher sends calls to the sides of upstreams and requests tickets from them.
 type Dispatcher interface {
 	Do(ctx context.Context, c *sides.Call, sink sides.Sink) sides.Result
 	IssueTicket(ctx context.Context, name settings.ProfileName, p settings.Profile) (*peer.TicketIssued, error)
@@ -31,12 +31,12 @@
 	Declarations() (*settings.Declarations, settings.Revision)
 }
 
-// Clock gives the present instant.
+// Clock returns the current instant.
 type Clock interface {
 	Now() clock.Instant
 }
 
-// Server is the HTTP service for callers.
+// Server is the HTTP server for callers.
 type Server struct {
 	Config     settings.Router
 	Dispatcher Dispatcher
@@ -80,7 +80,7 @@
 	defer cancel()
 	go func() {
 		<-ctx.Done()
-		// From now on /readyz fails and each answer closes its connection. Idle connections stay open during the notice
+		// From now on /readyz fails and each response closes its connection. Idle connections stay open during the notice
 		// time, since a caller may already be sending a request on one.
 		s.stopping.Store(true)
 		time.AfterFunc(s.Config.NoticeTime, cancel)
@@ -144,9 +144,9 @@
 
 // Status is the state of the server in dumps.
 type Status struct {
-	Leaving bool                    `json:"leaving"`
-	Open    int64                   `json:"open_calls"`
-	Teams   map[settings.TeamID]int `json:"open_calls_by_team"`
+	Stopping bool                    `json:"leaving"`
+	Open     int64                   `json:"open_calls"`
+	Teams    map[settings.TeamID]int `json:"open_calls_by_team"`
 }
 
 // Dump returns the server's state.
@@ -157,7 +157,7 @@
 	for team, n := range s.openByTeam {
 		teams[team] = n
 	}
-	return Status{Leaving: s.Stopping(), Open: s.openCalls.Load(), Teams: teams}
+	return Status{Stopping: s.Stopping(), Open: s.openCalls.Load(), Teams: teams}
 }
 
 // Names of the request and response headers.
--- a/router/internal/client/response.go
+++ b/router/internal/client/response.go
@@ -74,7 +74,7 @@
 	return s.control.Flush()
 }
 
-// refuse writes a failure response.
+// refuse writes a failure response of the router itself, and logs and counts it.
 func (s *Server) refuse(w http.ResponseWriter, r *direct.Request, f *refusal, outcome peer.Outcome) {
 	s.Scope.Tagged(map[string]string{"code": f.code}).Counter("refusals").Inc(1)
 	s.Log.Info("refused", "request", r.ID, "route", r.Route, "revision", r.Revision, "status", f.status, "code", f.code,
--- a/router/internal/client/serve.go
+++ b/router/internal/client/serve.go
@@ -45,12 +45,12 @@
 		return
 	}
 	r.Arrived = arrived
-	r.Deadline = arrived.Add(deadline(r))
+	r.Deadline = arrived.Add(requestTimeout(r))
 	s.dispatch(w, req, r)
 }
 
-// deadline returns how long the request may take: the client's timeout, bounded by the route's.
-func deadline(r *direct.Request) time.Duration {
+// requestTimeout returns how long the request may take: the client's timeout, bounded by the route's.
+func requestTimeout(r *direct.Request) time.Duration {
 	if r.Timeout == 0 {
 		return r.RouteConfig.Timeout
 	}
@@ -181,7 +181,7 @@
 	return &refusal{status: http.StatusBadGateway, code: res.Code}
 }
 
-// failureBody is the body of a failure response, the same as on the product's other interfaces.
+// failureBody is the JSON body of a failure response. It has the format of the caller API's failures, without the message.
 type failureBody struct {
 	Error failureError `json:"error"`
 }
--- a/router/internal/client/server.go
+++ b/router/internal/client/server.go
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// idleFactor lengthens the declared idle time, since a client counts from when it read the last response.
+// idleFactor lengthens the declared idle time, since a client starts counting later, when it has read the last response.
 const idleFactor = 1.2
 
 // idleTime returns how long an idle client connection is kept.
@@ -149,14 +149,14 @@
 
 // Status is the server's state in a dump.
 type Status struct {
-	Leaving  bool              `json:"leaving"`
+	Stopping bool              `json:"leaving"`
 	Open     int64             `json:"open_requests"`
 	Revision settings.Revision `json:"revision"`
 }
 
 // Dump returns the server's state.
 func (s *Server) Dump() any {
-	status := Status{Leaving: s.Stopping(), Open: s.openRequests.Load()}
+	status := Status{Stopping: s.Stopping(), Open: s.openRequests.Load()}
 	if t := s.table.Load(); t != nil {
 		status.Revision = t.Revision
 	}
