--- a/router/internal/app/direct.go
+++ b/router/internal/app/direct.go
@@ -54,8 +54,8 @@
 	directoryIdleTimeout = 30 * time.Second
 )
 
-// linkDialTimeout bounds the dial of a link to another router of the region. A VM that is about to start drops the first
-// packet, and the kernel retransmits it only after 1 s (RFC 6298).
+// linkDialTimeout bounds the dial of a link to another router of the region. A VM that is still starting drops the first
+// packet, and the kernel retransmits it only after 1 s (RFC 6298), so a new dial succeeds sooner.
 const linkDialTimeout = 250 * time.Millisecond
 
 // Direct is a router process that connects to the upstreams directly, without sides.
@@ -101,7 +101,7 @@
 		return nil, err
 	}
 	d.endpoint.DialTimeout = linkDialTimeout
-	d.connect(incarnation)
+	d.createServices(incarnation)
 	return d, nil
 }
 
@@ -114,8 +114,8 @@
 	debug.SetMemoryLimit(int64(memoryFraction * float64(mb<<20)))
 }
 
-// connect creates the services and connects them with each other.
-func (d *Direct) connect(incarnation peer.Incarnation) {
+// createServices creates the services with references to each other.
+func (d *Direct) createServices(incarnation peer.Incarnation) {
 	scope := d.metrics.Scope
 	inFlight := &inflight.Tracker{}
 	d.connections = &upstream.Pool{Dialect: platform.Dialect{}, OnDial: func(_ members.Instance, err error) {
@@ -227,7 +227,7 @@
 	return "no"
 }
 
-// directoryClient returns an HTTP client that soon closes a connection whose peer can't be reached any more.
+// directoryClient returns an HTTP client that detects within seconds that the peer of a connection is unreachable.
 func directoryClient() *http.Client {
 	dialer := &net.Dialer{
 		Timeout:         directoryDialTimeout,
@@ -291,8 +291,8 @@
 	stop := d.reloadOnHangup()
 	defer stop()
 	k := &kernel.Kernel{}
-	// The client server starts before gossip, which is ready only with declarations, so that an early client gets an
-	// answer with a time to retry.
+	// The client server starts before gossip, which is ready only with declarations, so that an early client gets a
+	// failure response with Retry-After instead of a refused connection.
 	k.Add(
 		&operator.Server{
 			Address: d.cfg.Operator,
--- a/router/internal/routers/service.go
+++ b/router/internal/routers/service.go
@@ -56,7 +56,7 @@
 	Redial(ctx context.Context, address string, old *peer.Link) (*peer.Link, error)
 }
 
-// router is another router with the updates that it has not been sent yet.
+// router is another router with the updates that are queued for it.
 type router struct {
 	address     string
 	seed        bool
--- a/router/internal/routers/service_test.go
+++ b/router/internal/routers/service_test.go
@@ -132,15 +132,15 @@
 
 func TestCacheEntriesAndInstancesAreExchanged(t *testing.T) {
 	nodes := startNodes(t, 3)
-	parts := []call.PromptBlock{{ID: 9, Tokens: 1000}}
-	nodes[1].affinity.RecordUse(clock.Boot{}.Now(), parts, "engine-1")
+	blocks := []call.PromptBlock{{ID: 9, Tokens: 1000}}
+	nodes[1].affinity.RecordUse(clock.Boot{}.Now(), blocks, "engine-1")
 	change := members.Change{ID: "engine-1", Revision: 7, Instance: members.Instance{ID: "engine-1", Service: "letters"}}
 	nodes[1].members.ApplyRelayed(clock.Boot{}.Now(), []members.Change{change})
 	nodes[1].service.Broadcast([]members.Change{change})
 	eventually(t, func() bool {
 		return !slices.ContainsFunc(nodes, func(n *node) bool {
-			held := n.affinity.CachedTokens(clock.Boot{}.Now(), parts, []settings.UpstreamID{"engine-1"})
-			return held[0] != 1000 || len(n.members.Serving("letters")) != 1
+			cachedTokens := n.affinity.CachedTokens(clock.Boot{}.Now(), blocks, []settings.UpstreamID{"engine-1"})
+			return cachedTokens[0] != 1000 || len(n.members.Serving("letters")) != 1
 		})
 	})
 }
--- a/router/internal/routers/view.go
+++ b/router/internal/routers/view.go
@@ -72,10 +72,10 @@
 
 // Status is the state of one router in a dump.
 type Status struct {
-	Address string `json:"address"`
-	Lost    bool   `json:"lost"`
-	MetMS   int64  `json:"met_ms_ago"`
-	Pending int    `json:"pending_news"`
+	Address         string `json:"address"`
+	Lost            bool   `json:"lost"`
+	SinceExchangeMS int64  `json:"met_ms_ago"`
+	Pending         int    `json:"pending_news"`
 }
 
 // Dump returns the other routers.
@@ -86,10 +86,10 @@
 	var list []Status
 	for address, r := range s.routers {
 		list = append(list, Status{
-			Address: address,
-			Lost:    r.lost,
-			MetMS:   now.Sub(r.lastExchange).Milliseconds(),
-			Pending: len(r.cacheUpdates) + len(r.memberChanges),
+			Address:         address,
+			Lost:            r.lost,
+			SinceExchangeMS: now.Sub(r.lastExchange).Milliseconds(),
+			Pending:         len(r.cacheUpdates) + len(r.memberChanges),
 		})
 	}
 	return list
--- a/router/internal/sides/dispatch.go
+++ b/router/internal/sides/dispatch.go
@@ -22,7 +22,8 @@
 	// bound doubles with each retry.
 	firstRetryPause = 20 * time.Millisecond
 	maxRetryPause   = time.Second
-	// maxPrimaryRetries is the smallest retry limit of a call with a key or ticket, whatever its profile allows.
+	// maxPrimaryRetries is the retry limit of a call with a key or ticket, unless its profile allows more retries. It also
+	// bounds the retries after refusals by a side that is not the primary.
 	maxPrimaryRetries = 3
 	// refusalGrace extends the deadline so that a side's refusal at the deadline still arrives. The refusal proves that
 	// nothing was run.
@@ -191,7 +192,8 @@
 	_ = peer.Notify(ctx, link, &peer.Leaving{})
 }
 
-// IssueTicket requests a ticket from a usable side of the profile's service. The ticket is nil if there is none.
+// IssueTicket requests a ticket from a usable side of the profile's service. Ticket and error are nil if the service has no
+// declared side.
 func (d *Dispatcher) IssueTicket(ctx context.Context, name settings.ProfileName, profile settings.Profile) (*peer.TicketIssued, error) {
 	order := candidates.New(d.View.Usable(profile.Service), rand.Uint64(), "")
 	var lastErr error
--- a/router/internal/sides/progress.go
+++ b/router/internal/sides/progress.go
@@ -54,8 +54,8 @@
 }
 
 var (
-	eventStart  = []byte("data: ")
-	contentMark = []byte(`"content":`)
+	dataPrefix   = []byte("data: ")
+	contentField = []byte(`"content":`)
 )
 
 // setHead keeps an attempt's status and header until the answer begins. It ignores them if the caller already has those
@@ -102,11 +102,11 @@
 
 // recordToken counts and keeps the answer token that a chunk carries, if it carries one.
 func (p *progress) recordToken(data []byte) {
-	if !bytes.Contains(data, contentMark) {
+	if !bytes.Contains(data, contentField) {
 		return
 	}
 	p.answerTokens++
-	text := gjson.GetBytes(data[min(len(data), len(eventStart)):], "choices.0.delta.content")
+	text := gjson.GetBytes(data[min(len(data), len(dataPrefix)):], "choices.0.delta.content")
 	p.truncated = p.truncated || len(p.answer)+len(text.Str) > maxResumeBytes
 	if !p.truncated {
 		p.answer = append(p.answer, text.Str...)
--- a/router/internal/sides/view.go
+++ b/router/internal/sides/view.go
@@ -22,7 +22,7 @@
 	failureMemory = time.Minute
 )
 
-// Clock gives the present instant.
+// Clock returns the current instant.
 type Clock interface {
 	Now() clock.Instant
 }
@@ -41,11 +41,13 @@
 	mu           sync.Mutex
 	declarations *settings.Declarations
 	version      revision.Version
-	leaving      map[string]bool
-	avoided      map[settings.UpstreamID]avoidance
-	routers      []string
-	declared     map[settings.ServiceName]*rendezvous.Set
-	usable       map[settings.ServiceName]cachedSet
+	// leaving holds the peer addresses that the VM list shows as leaving, routers those of the routers that are not leaving.
+	leaving map[string]bool
+	avoided map[settings.UpstreamID]avoidance
+	routers []string
+	// declared and usable hold the sets that Declared and Usable return.
+	declared map[settings.ServiceName]*rendezvous.Set
+	usable   map[settings.ServiceName]cachedSet
 }
 
 // cachedSet is a set of usable sides, valid until the given time.
--- a/router/internal/upstream/conn.go
+++ b/router/internal/upstream/conn.go
@@ -77,7 +77,7 @@
 	Cause error
 }
 
-func (e *NotSentError) Error() string { return "not sent: " + e.Cause.Error() }
+func (e *NotSentError) Error() string { return "request not sent: " + e.Cause.Error() }
 
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Cause }
