--- a/side/internal/app/app.go
+++ b/side/internal/app/app.go
@@ -146,8 +146,8 @@
 // leavingTimeout bounds the leaving notices and, separately, the handover of a stopping side.
 const leavingTimeout = 2 * time.Second
 
-// lingerTime is the shortest time for which a stopping side still answers after its notice.
-const lingerTime = 500 * time.Millisecond
+// minRefusalTime is the shortest time for which a stopping side still refuses attempts after its leaving notices.
+const minRefusalTime = 500 * time.Millisecond
 
 // Run waits for ctx to end and then drains the side and hands over its records.
 func (d *drain) Run(ctx context.Context, ready func()) error {
@@ -170,7 +170,7 @@
 	defer cancelHandover()
 	d.side.sides.HandOver(handoverCtx)
 	// Attempts sent before a router received the notice are refused, and the refusals must still be delivered.
-	time.Sleep(time.Until(noticed.Add(lingerTime)))
+	time.Sleep(time.Until(noticed.Add(minRefusalTime)))
 	d.side.log.Info("side drained")
 	return nil
 }
--- a/side/internal/router/handover.go
+++ b/side/internal/router/handover.go
@@ -76,8 +76,8 @@
 		s.primaries.AddReleaseAck(now, h.From, h.Ended, h.Revision, h.Covered)
 		return
 	}
-	// No process between the predecessor and this one can have run a key: that would take this handover, of which
-	// there is only one copy, or an uptime of a key's lifetime.
+	// A process between the predecessor and this one could run a key only if it had received this handover, of which there is
+	// one copy, or had been up for a key's lifetime. Neither is possible here, so no run is missing from the records.
 	if h.Covered && h.Age < s.service.KeyLifetime {
 		s.primaries.MarkRecovered()
 	}
@@ -123,7 +123,7 @@
 	return ok && primary == side
 }
 
-// Handover returns the records to leave with another side once this one has stopped all work.
+// Handover returns the records to send to another side once this one has stopped all work.
 func (s *Server) Handover() *peer.Handover {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/side/internal/router/serve.go
+++ b/side/internal/router/serve.go
@@ -44,7 +44,7 @@
 	}
 	text, err := s.Issuer.Issue(s.Clock.Now())
 	if err != nil {
-		s.Log.Error("issuing a ticket", "error", err)
+		s.Log.Error("cannot issue a ticket", "error", err)
 		_ = st.Send(ctx, &peer.Refuse{Code: peer.RefuseTicket})
 		return
 	}
--- a/side/internal/router/server.go
+++ b/side/internal/router/server.go
@@ -56,8 +56,9 @@
 	service      settings.Service
 	serviceName  settings.ServiceName
 	revision     settings.Revision
-	upstreamSet  *rendezvous.Set
-	siblings     []string
+	// upstreamSet holds the declared upstreams of the service, siblings the addresses of its other sides.
+	upstreamSet *rendezvous.Set
+	siblings    []string
 	// previousSides holds the addresses of sides that are no longer declared.
 	previousSides map[settings.UpstreamID]string
 	admission     admission.Controller
--- a/side/internal/router/submit.go
+++ b/side/internal/router/submit.go
@@ -55,7 +55,7 @@
 	return r
 }
 
-// admitAttempt decides on a submission; one that may run has its load counted, its place in the queue and its key claimed.
+// admitAttempt decides whether a submission may run. If so, it claims the key, counts the load and queues the job.
 func (s *Server) admitAttempt(j *job) (outcome.Step, *refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/side/internal/sides/service.go
+++ b/side/internal/sides/service.go
@@ -240,7 +240,7 @@
 	}
 }
 
-// HandOver leaves this side's records with one other side. A second copy could outlive the first and give stale records
+// HandOver sends this side's records to one other side. A second copy could outlive the first and give stale records
 // to a later successor, so another side is tried only if nothing was sent.
 func (s *Service) HandOver(ctx context.Context) {
 	handover := s.Admission.Handover()
