--- a/rattantrack/internal/cmd/dump.go
+++ b/rattantrack/internal/cmd/dump.go
@@ -26,7 +26,7 @@
 	for _, s := range sections {
 		var text bytes.Buffer
 		if err := json.Indent(&text, s.State, "  ", "  "); err != nil {
-			return errors.Wrapf(err, "showing %s", s.Name)
+			return errors.Wrapf(err, "formatting the state of %s", s.Name)
 		}
 		fmt.Fprintf(&b, "%s\n  %s\n", s.Name, text.String())
 	}
--- a/rattantrack/internal/cmd/root.go
+++ b/rattantrack/internal/cmd/root.go
@@ -42,15 +42,15 @@
 	Explain  explainCmd  `cmd:"" help:"Explain what a request with a profile gets. Example: rattantrack explain examples/kanem debit-fee"`
 	Profiles profilesCmd `cmd:"" help:"List the profiles. Example: rattantrack profiles examples/kanem"`
 	Dump     dumpCmd     `cmd:"" help:"Show the state of a process. Example: rattantrack dump 10.0.0.7:7401"`
-	Status   statusCmd   `cmd:"" help:"Show a fleet at a glance. Example: rattantrack status 10.0.0.7:7401 10.0.0.8:7401"`
+	Status   statusCmd   `cmd:"" help:"Show the load of a fleet's processes. Example: rattantrack status 10.0.0.7:7401 10.0.0.8:7401"`
 	Send     sendCmd     `cmd:"" help:"Send a chat by hand. Example: rattantrack send http://10.0.0.1:8080 answer-parent --team office \"Is the trip on?\""`
 
 	Completion completionCmd `cmd:"" help:"Print a completion script for bash. Example: source <(rattantrack completion)"`
 }
 
-const description = `Reads and asks; never writes shared state.
+const description = `Reads declarations and queries processes; never writes shared state.
 
-Exit codes: 0 all is well, 1 the command failed, 2 the declarations or the command line have faults.`
+Exit codes: 0 success, 1 the command failed, 2 the declarations or the command line have faults.`
 
 // Main runs the command line and returns its exit code.
 func Main(args []string, out, errOut io.Writer) int {
--- a/rattantrack/internal/cmd/send.go
+++ b/rattantrack/internal/cmd/send.go
@@ -13,7 +13,7 @@
 type sendCmd struct {
 	URL     string `arg:"" help:"Base URL of a router for callers."`
 	Profile string `arg:"" help:"Name of a model's profile."`
-	Text    string `arg:"" help:"What to say."`
+	Text    string `arg:"" help:"Text of the message."`
 	Team    string `required:"" help:"Team to call as."`
 	Stream  bool   `help:"Read the answer as events."`
 }
@@ -55,7 +55,7 @@
 		return errors.Wrap(err, "reading the answer")
 	}
 	if res.StatusCode != http.StatusOK {
-		return errors.Newf("the router answered %d", res.StatusCode)
+		return errors.Newf("the router returned status %d", res.StatusCode)
 	}
 	return nil
 }
--- a/rattantrack/internal/cmd/status.go
+++ b/rattantrack/internal/cmd/status.go
@@ -15,7 +15,7 @@
 
 type statusCmd struct {
 	Addresses []string      `arg:"" help:"Operators' addresses of processes."`
-	Watch     bool          `help:"Show again until interrupted."`
+	Watch     bool          `help:"Repeat until interrupted."`
 	Every     time.Duration `default:"2s" help:"Time between two views with --watch."`
 }
 
--- a/rattantrack/internal/process/client.go
+++ b/rattantrack/internal/process/client.go
@@ -42,19 +42,19 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/dump", nil)
 	if err != nil {
-		return nil, errors.Wrapf(err, "asking %s", address)
+		return nil, errors.Wrapf(err, "building the dump request to %s", address)
 	}
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, errors.Wrapf(err, "asking %s", address)
+		return nil, errors.Wrapf(err, "requesting the dump of %s", address)
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return nil, errors.Newf("%s answered %d", address, res.StatusCode)
+		return nil, errors.Newf("the dump request to %s returned status %d", address, res.StatusCode)
 	}
 	var sections []Section
 	err = json.NewDecoder(io.LimitReader(res.Body, maxDumpBytes)).Decode(&sections)
-	return sections, errors.Wrapf(err, "reading the answer of %s", address)
+	return sections, errors.Wrapf(err, "decoding the dump of %s", address)
 }
 
 // Find decodes the named section into v; it returns false if the section is missing or can't be decoded.
